--- a/edge/src/main/java/org/shoreroad/edge/Upkeep.java
+++ b/edge/src/main/java/org/shoreroad/edge/Upkeep.java
@@ -65,7 +65,7 @@
     int processes = mesh.sharingCount();
     configuration.setProcessCount(processes);
     selector.setProcessCount(processes);
-    upstreams.setElsewhere(mesh.newest());
+    upstreams.setPeerLoads(mesh.newest());
     backpressure.setSharers(mesh.sharers());
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/UpstreamTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/UpstreamTable.java
@@ -77,7 +77,7 @@
   }
 
   /** Takes over what all other processes have open, with when each told it. */
-  public void setElsewhere(Map<Heartbeat, Long> newest) {
+  public void setPeerLoads(Map<Heartbeat, Long> newest) {
     loads.values().forEach(UpstreamLoad::clearElsewhere);
     newest.forEach(
         (heartbeat, heardNanos) -> {
--- a/edge/src/test/java/org/shoreroad/edge/relay/UpstreamFixture.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/UpstreamFixture.java
@@ -87,7 +87,7 @@
 
   final void tellElsewhere(String id, int open, long waitingTokens, int ageMs) {
     Heartbeat.Load load = new Heartbeat.Load(id, open, waitingTokens, ageMs);
-    table.setElsewhere(Map.of(heartbeatWith(List.of(load)), nowNanos));
+    table.setPeerLoads(Map.of(heartbeatWith(List.of(load)), nowNanos));
   }
 
   static Heartbeat heartbeatWith(List<Heartbeat.Load> loads) {
--- a/edge/src/test/java/org/shoreroad/edge/relay/UpstreamSelectorTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/UpstreamSelectorTest.java
@@ -53,7 +53,7 @@
       list("h" + i, "OPEN");
       told.add(new Heartbeat.Load("h" + i, i == 0 ? 0 : 1, 0, 0));
     }
-    table.setElsewhere(Map.of(heartbeatWith(told), nowNanos));
+    table.setPeerLoads(Map.of(heartbeatWith(told), nowNanos));
     selector.setProcessCount(80);
     int choices = 400;
     int idle = 0;
