--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -163,7 +163,7 @@
       refuseOrFail(Refusal.HELD_BACK, RetryAfter.PLACE);
       return;
     }
-    boolean isStanding = targets.isAnyStanding();
+    boolean isStanding = targets.hasAny();
     refuseOrFail(
         isStanding ? Refusal.NO_PLACE : Refusal.NO_REPLICA,
         isStanding ? RetryAfter.PLACE : RetryAfter.REPLICA);
--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestTargets.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestTargets.java
@@ -49,7 +49,7 @@
   }
 
   /** Returns true if there is any upstream, free or not. */
-  boolean isAnyStanding() {
+  boolean hasAny() {
     return service != null && selector.hasAny(service, model);
   }
 
