--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -239,7 +239,7 @@
   private void notePromptRead() {
     if (!isPromptRead) {
       isPromptRead = true;
-      target.load().promptRead(exchange.promptTokens());
+      target.load().recordPromptRead(exchange.promptTokens());
     }
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/UpstreamLoad.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/UpstreamLoad.java
@@ -86,7 +86,7 @@
   }
 
   /** Notes that the first event of a request has come. */
-  void promptRead(long promptTokens) {
+  void recordPromptRead(long promptTokens) {
     waitingPromptTokens -= promptTokens;
     ownWriters++;
   }
--- a/edge/src/test/java/org/shoreroad/edge/relay/SilenceLimitTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/SilenceLimitTest.java
@@ -28,7 +28,7 @@
   @Test
   void whoHearsEachPassWaitsForOnePassAndAQuarterAndTheSlack() {
     load.addElsewhere(8, 0, 0);
-    load.promptRead(0);
+    load.recordPromptRead(0);
     // Five steps of 8 ms, a quarter more, and 90 ms.
     assertThat(limitMs(), is(140L));
   }
@@ -42,7 +42,7 @@
   @Test
   void aHeadThatIsKnownToBeSlowIsWaitedForLonger() {
     load.addElsewhere(8, 0, 0);
-    load.promptRead(0);
+    load.recordPromptRead(0);
     long usualMs = limitMs();
     for (int i = 0; i < 30; i++) {
       load.pace().record(TimeUnit.MILLISECONDS.toNanos(120), 40, NOW_NANOS);
@@ -52,7 +52,7 @@
 
   @Test
   void promptsThatWaitMakeAPassLongerUpToWhatItReads() {
-    load.promptRead(0);
+    load.recordPromptRead(0);
     long idleMs = limitMs();
     load.addElsewhere(1, 4_600, 0);
     assertThat(limitMs(), is(greaterThan(idleMs + 100)));
