--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -246,7 +246,7 @@
   private void end() {
     isOver = true;
     if (isPromptRead) {
-      target.load().removeWriter(exchange);
+      target.load().removeDecoding(exchange);
     } else {
       target.load().removeWaiting(exchange, exchange.promptTokens());
     }
--- a/edge/src/main/java/org/shoreroad/edge/relay/UpstreamLoad.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/UpstreamLoad.java
@@ -79,7 +79,7 @@
   }
 
   /** Takes a request off whose prompt was read. */
-  void removeWriter(Exchange exchange) {
+  void removeDecoding(Exchange exchange) {
     if (open.remove(exchange)) {
       ownWriters--;
     }
