--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -94,7 +94,7 @@
     long holdMs = Math.min(reader.deadlineMs(), found.timeoutMs());
     endNanos = request.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(holdMs);
     waitUntilNanos = request.arrivedNanos() + waitNanos();
-    sends.allow(found.maxAttempts());
+    sends.setMaxAttempts(found.maxAttempts());
     if (relay.quarantine().recordArrival(this::fingerprint)) {
       refuse(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
       return;
--- a/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
@@ -23,7 +23,7 @@
    *
    * @param maxAttempts the most upstreams, positive
    */
-  void allow(int maxAttempts) {
+  void setMaxAttempts(int maxAttempts) {
     left = maxAttempts;
   }
 
