--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -288,7 +288,7 @@
     boolean isAllowed = of != null && (end == AttemptEnd.REFUSED || of.isRepeatable());
     // With an earlier upstream still at work, a repeat is worth it only where it can be sent.
     return isAllowed
-        && sends.hasLeft()
+        && sends.hasAttemptsLeft()
         && !isQuarantined()
         && (attempts.isEmpty() || targets.isAnyFree())
         && takeRepeat();
@@ -439,7 +439,7 @@
   }
 
   private boolean canRepeat() {
-    return route != null && route.isRepeatable() && sends.hasLeft();
+    return route != null && route.isRepeatable() && sends.hasAttemptsLeft();
   }
 
   /** Returns the engines of its service as they run its model, or null if there are none. */
--- a/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
@@ -52,7 +52,7 @@
   }
 
   /** Returns true while another upstream may be sent the request. */
-  boolean hasLeft() {
+  boolean hasAttemptsLeft() {
     return left > 0;
   }
 
