--- a/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
@@ -13,7 +13,7 @@
   private static final int MAX_UNSENT = 6;
 
   private final Set<String> triedIds = new HashSet<>();
-  private int left;
+  private int attemptsLeft;
   private int sent;
   private int unsent;
   private boolean mayHaveRun;
@@ -24,13 +24,13 @@
    * @param maxAttempts the most upstreams, positive
    */
   void setMaxAttempts(int maxAttempts) {
-    left = maxAttempts;
+    attemptsLeft = maxAttempts;
   }
 
   /** Notes that a byte may have left for an upstream. */
   void recordSent(String upstreamId) {
     sent++;
-    left--;
+    attemptsLeft--;
     triedIds.add(upstreamId);
   }
 
@@ -53,15 +53,15 @@
 
   /** Returns true while another upstream may be sent the request. */
   boolean hasAttemptsLeft() {
-    return left > 0;
+    return attemptsLeft > 0;
   }
 
   boolean hasTooManyUnsent() {
     return unsent >= MAX_UNSENT;
   }
 
-  int left() {
-    return left;
+  int attemptsLeft() {
+    return attemptsLeft;
   }
 
   int sent() {
