--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -342,7 +342,7 @@
     if (attempts.isAnySent()) {
       sends.recordMayHaveRun();
     }
-    attempts.cancelUnbegun();
+    attempts.cancelUnanswered();
     refuseOrFail(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/OpenAttempts.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/OpenAttempts.java
@@ -58,7 +58,7 @@
   }
 
   /** Cancels those whose upstream has not begun to answer. */
-  void cancelUnbegun() {
+  void cancelUnanswered() {
     cancelIf(attempt -> !attempt.hasHead());
   }
 
