--- a/edge/src/main/java/org/shoreroad/edge/relay/Admission.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Admission.java
@@ -7,12 +7,13 @@
 import org.shoreroad.traffic.UpstreamService;
 
 /**
- * Decision whether a request is admitted: its route, its client account and its service, or why it
- * is refused at once.
+ * Decision whether a request is admitted, with its route, its client account and its service, or
+ * the reason why it is refused.
  *
- * <p>A key that is not known here is refused for good only on a proved configuration, because
- * another process may know it already. A known key is refused for a moment while the proof that it
- * was not taken away is too old. This class is immutable and thread-safe.
+ * <p>A key that the configuration lacks is refused permanently only if the configuration is proved
+ * to be the newest, because another process may already have a newer one that holds the key. A key
+ * that the configuration holds is refused temporarily while the proof that it was not revoked is
+ * too old. This class is immutable and thread-safe.
  *
  * @param route the route, or null if none matches
  * @param account the client account, or null for an anonymous caller
@@ -35,10 +36,10 @@
    * Decides on a request.
    *
    * @param freshness the configuration and the age of its proof, not null
-   * @param host the host that the caller named, not null
+   * @param host the host that the caller requested, not null
    * @param uri the path and the query, not null
-   * @param key the key that the caller showed, or an empty text
-   * @param draw a number from 0 to 1 that chooses among the services of a route
+   * @param key the caller's API key, or an empty string if there is none
+   * @param draw a random number from 0 to 1 that selects one of the services of a route
    */
   static Admission of(Freshness freshness, String host, String uri, String key, double draw) {
     TrafficConfig config = freshness.config();
--- a/edge/src/main/java/org/shoreroad/edge/relay/Freshness.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Freshness.java
@@ -4,26 +4,26 @@
 import org.shoreroad.traffic.TrafficConfig;
 
 /**
- * What operators declare, as far as this process knows, and for how long it may act on it.
+ * The configuration that this process uses, and how recently it was proved to be the newest.
  *
  * @since 0.2
  */
 public interface Freshness {
-  /** Returns the configuration in force, or null if none is known yet. */
+  /** Returns the configuration in force, or null if none was received yet. */
   @Nullable TrafficConfig config();
 
-  /** Returns true if a key that the configuration holds may be used now. */
+  /** Returns true if the proof is recent enough to accept the keys of the configuration. */
   boolean mayTrustKeys();
 
   /**
-   * Returns true if the configuration was proved to be the newest a moment ago, so that what it
-   * does not hold is not known elsewhere either.
+   * Returns true if the configuration was proved a moment ago to be the newest, so that no other
+   * process has an entry that it lacks.
    */
   boolean isProved();
 
-  /** Returns how long ago it was proved that no change was missed, in milliseconds. */
+  /** Returns the time since the last proof that no change was missed, in milliseconds. */
   long configAgeMs();
 
-  /** Returns the number of processes believed alive, this one among them. */
+  /** Returns the number of processes that are considered alive, including this one. */
   int processCount();
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aKnownKeyIsAdmittedWithItsAccountAndService() {
+  void admitsAKnownKeyWithItsAccountAndService() {
     Admission admission = admit("/known/x", "secret");
     assertThat(admission.refusal(), is(nullValue()));
     assertThat(admission.account(), is(OFFICE));
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void withoutAConfigurationOrARouteItIsRefused() {
+  void refusesARequestWithoutConfigurationOrRoute() {
     assertThat(
         Admission.of(new FakeFreshness(null), "h.example", "/known/x", "secret", 0.5).refusal(),
         is(Refusal.NO_CONFIGURATION));
@@ -70,14 +70,14 @@
   }
 
   @Test
-  void anUnknownKeyIsRefusedForGoodOnlyOnAProvedConfiguration() {
+  void refusesAnUnknownKeyPermanentlyOnlyIfTheConfigurationIsProved() {
     assertThat(admit("/known/x", "other").refusal(), is(Refusal.UNKNOWN_KEY));
     freshness.isProved = false;
     assertThat(admit("/known/x", "other").refusal(), is(Refusal.KEYS_TOO_OLD));
   }
 
   @Test
-  void aKnownKeyIsRefusedForAMomentWhileItsProofIsTooOld() {
+  void refusesAKnownKeyTemporarilyWhileTheProofIsTooOld() {
     freshness.mayTrustKeys = false;
     assertThat(admit("/known/x", "secret").refusal(), is(Refusal.KEYS_TOO_OLD));
     assertThat(admit("/open/x", "secret").refusal(), is(Refusal.KEYS_TOO_OLD));
