--- a/edge/src/main/java/org/shoreroad/edge/relay/Backpressure.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Backpressure.java
@@ -21,11 +21,12 @@
 import org.shoreroad.limit.UpstreamRests;
 
 /**
- * Requests of upstreams in their answers: limits, from answers and from the reports of other
- * processes; rests, from the rejections that this process receives; leavings, which are passed on
- * to the list of upstreams. Checked before each request is sent.
+ * Applies the backpressure signals of upstreams: request limits, rests and announced shutdowns.
  *
- * <p>Used on the event loop.
+ * <p>Limits come from the answers to this process and from the reports of other processes. A rest
+ * is a time without requests that an upstream demands with {@code Retry-After} when it rejects a
+ * request of this process. An announced shutdown is passed on to the list of upstreams. Limits and
+ * rests are checked before each request is sent. Used on the event loop.
  *
  * @since 0.2
  */
@@ -45,7 +46,7 @@
    * Creates an instance without limits and rests.
    *
    * @param self the name of this process, not null
-   * @param headers the names of the headers in which upstreams ask, not null
+   * @param headers the names of the headers that carry the signals, not null
    */
   public Backpressure(
       String self,
@@ -61,29 +62,32 @@
   }
 
   /**
-   * Sets what is run when an answer names a limit that was not known here, so that the other
-   * processes receive it soon.
+   * Sets the callback that is run when an answer names a limit that is new to this process, so that
+   * the other processes receive it soon.
    */
   public void setLimitListener(Runnable limitListener) {
     this.limitListener = limitListener;
   }
 
-  /** Sets what takes an upstream that says in an answer that it is about to end. */
+  /** Sets the callback for an upstream whose answer announces that it is about to shut down. */
   public void setLeavingListener(Consumer<Incarnation> leavingListener) {
     this.leavingListener = leavingListener;
   }
 
-  /** Sets the processes that limits are divided among, including this one; may be empty. */
+  /** Sets the processes that share each limit, including this one; may be empty. */
   public void setSharers(Set<String> names) {
     limits.setSharers(names, clockNanos.getAsLong());
   }
 
-  /** Returns the reports that are due to the other processes. */
+  /** Returns the limit reports that are due to be sent to the other processes. */
   public List<LimitReport> reports() {
     return limits.reports(clockNanos.getAsLong());
   }
 
-  /** Applies the reports of another process; returns true if an upstream is newly limited. */
+  /**
+   * Applies the reports of another process; returns true if one sets a limit on an unlimited
+   * upstream.
+   */
   public boolean learn(Collection<LimitReport> reports) {
     boolean hasBegun = false;
     for (LimitReport report : reports) {
@@ -94,21 +98,21 @@
     return hasBegun;
   }
 
-  /** Returns how many upstreams are limited. */
+  /** Returns the number of limited upstreams. */
   public int limitedCount() {
     return limits.limitedCount();
   }
 
   /**
-   * Applies what an upstream's answer asks for.
+   * Applies the backpressure signals in an answer.
    *
-   * @param upstream who answered, not null
+   * @param upstream the upstream that answered, not null
    * @param head the head of the answer, not null
-   * @param sentNanos when the request was sent
+   * @param sentNanos the time on the steady clock at which the request was sent
    */
   void recordAnswer(Incarnation upstream, HttpResponse head, long sentNanos) {
     String limit = head.headers().get(headers.limit());
-    // An answer without the upstream's echo of the request does not end a limit.
+    // An answer that does not echo the attempt id does not end a limit.
     if (limit != null || head.headers().contains(headers.attemptId())) {
       recordLimit(upstream, limit, sentNanos);
     }
@@ -126,7 +130,7 @@
     if (text != null) {
       limit = RequestLimit.parse(text).orElse(null);
       if (limit == null) {
-        // Neither sets nor ends a limit.
+        // An unreadable limit neither sets nor ends a limit.
         counters.count("shoreroad.upstreams.unreadable_requests", "limit");
         return;
       }
@@ -156,13 +160,13 @@
         rest.seconds());
   }
 
-  /** Returns true if the upstream has named a limit that still holds. */
+  /** Returns true if a limit of the upstream is in force. */
   boolean isLimited(Incarnation upstream) {
     return limits.isLimited(upstream);
   }
 
-  /** Returns true if this process may send the upstream a request now. */
-  boolean mayTake(FleetBox upstream) {
+  /** Returns true if neither a rest nor a limit forbids sending the upstream a request now. */
+  boolean maySendTo(FleetBox upstream) {
     if (limits.isEmpty() && rests.isEmpty()) {
       return true;
     }
@@ -171,12 +175,16 @@
     return !rests.isResting(incarnation, nowNanos) && limits.hasTurn(incarnation, nowNanos);
   }
 
-  /** Returns true while a rest of the upstream lasts. */
+  /** Returns true if the upstream is in a rest. */
   boolean isResting(Incarnation upstream) {
     return rests.isResting(upstream, clockNanos.getAsLong());
   }
 
-  /** Uses a turn for one request; returns false if there is a limit and no turn. */
+  /**
+   * Takes a turn, the permission to send one request under a limit.
+   *
+   * @return false if the upstream is limited and no turn is due
+   */
   boolean takeTurn(Incarnation upstream) {
     boolean hasTurn = limits.takeTurn(upstream, clockNanos.getAsLong());
     if (limits.isLimited(upstream)) {
@@ -186,7 +194,7 @@
   }
 
   private void writeChange(
-      LimitChange change, Incarnation upstream, @Nullable RequestLimit limit, String by) {
+      LimitChange change, Incarnation upstream, @Nullable RequestLimit limit, String source) {
     if (change == LimitChange.NONE) {
       return;
     }
@@ -199,6 +207,6 @@
         "perSecond",
         limit == null ? "" : limit.perSecond(),
         "by",
-        by);
+        source);
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/relay/UpstreamSelector.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/UpstreamSelector.java
@@ -12,32 +12,32 @@
 import org.shoreroad.traffic.UpstreamService;
 
 /**
- * Selects the upstream of a request by what is open and what waits to be read there.
+ * Selects the upstream of a request by the open requests and the unread prompts there.
  *
- * <p>It answers loads of short and long prompts on replicas that are unevenly full, and many
- * processes that choose on reports of each other up to 0.4 s old. Used on the event loop.
+ * <p>Suited to mixed short and long prompts on unevenly loaded replicas, and to many processes that
+ * choose on load reports of each other, which are up to 0.4 s old. Used on the event loop.
  *
  * @since 0.2
  */
 public final class UpstreamSelector {
-  /** The part of the target latency that the prompts waiting at a replica may take to be read. */
-  private static final double BACKLOG_PART = 0.6;
+  /** Maximum time to read the prompts that wait at a replica, as a part of the target latency. */
+  private static final double MAX_BACKLOG_FRACTION = 0.6;
 
-  /** A plain upstream queues as many again as it works on: its requests are short. */
+  /** Maximum open requests per slot of a plain upstream; one may queue, as requests are short. */
   private static final int PLAIN_QUEUE_FACTOR = 2;
 
   private static final double FAILURE_COST = 3;
 
-  /** An engine that is twice as slow as usual counts as one that is half full. */
+  /** Cost of each unit of slowness above the usual one: as much as half of all slots taken. */
   private static final double SLOWNESS_COST = 0.5;
 
-  /** Passes are measured up to this long by chance: prompts of other processes are read in them. */
+  /** Slowness that occurs by chance, because passes also read prompts of other processes. */
   private static final double USUAL_SLOWNESS = 1.5;
 
-  /** A quarter of a second of prompts that wait counts as much as all places taken. */
+  /** Time to read the waiting prompts that costs as much as all slots taken, in seconds. */
   private static final double READ_SECONDS_PER_COST = 0.25;
 
-  /** Cost of an upstream in another zone: two to three places of eighteen. */
+  /** Cost of an upstream in another zone: as much as two to three of eighteen slots taken. */
   private static final double OTHER_ZONE_COST = 0.12;
 
   private static final double JITTER_COST = 0.04;
@@ -67,39 +67,38 @@
     this.zone = zone;
   }
 
-  /** Sets how many processes choose beside each other, this one among them. */
+  /** Sets the number of processes that choose independently, including this one. */
   public void setProcessCount(int count) {
     processCount = count;
   }
 
   /**
-   * Returns an upstream with little to do that is fit for a request: the one with the least, or,
-   * where many processes choose on old reports of each other, the one with the least of a few
-   * drawn.
+   * Returns the upstream of least cost that can take a request. If many processes choose on old
+   * reports of each other, it is the best of a random sample.
    *
    * @param service the service, not null
    * @param model the model asked for, or null for a plain service
-   * @param tried the ids of upstreams that had the request already
-   * @param targetLatencyMs the time within which an answer is wanted, in milliseconds
-   * @return the upstream, or empty if none is there or none has a place
+   * @param tried the ids of the upstreams that must not be tried again
+   * @param targetLatencyMs the target time to the first event of the answer, in milliseconds
+   * @return the upstream, or empty if there is none that can take the request
    */
   Optional<Target> choose(
       UpstreamService service, @Nullable String model, Set<String> tried, int targetLatencyMs) {
     EngineSpec engine = service.engine();
     long nowNanos = clockNanos.getAsLong();
-    List<FleetBox> fit = new ArrayList<>();
+    List<FleetBox> eligible = new ArrayList<>();
     for (FleetBox box : table.candidates(service, model)) {
       UpstreamLoad load = table.loadOf(box.id());
       if (!tried.contains(box.id())
-          && !isShunned(load, nowNanos)
-          && backpressure.mayTake(box)
+          && !isExcluded(load, nowNanos)
+          && backpressure.maySendTo(box)
           && !isFull(load, box, engine, targetLatencyMs)) {
-        fit.add(box);
+        eligible.add(box);
       }
     }
     FleetBox best = null;
     double bestCost = Double.MAX_VALUE;
-    for (FleetBox box : Shortlist.draw(fit, zone, processCount, random)) {
+    for (FleetBox box : Shortlist.draw(eligible, zone, processCount, random)) {
       double cost = cost(table.loadOf(box.id()), box, engine);
       if (cost < bestCost) {
         best = box;
@@ -109,21 +108,21 @@
     return best == null ? Optional.empty() : Optional.of(new Target(best, table.loadOf(best.id())));
   }
 
-  /** Returns true if any upstream stands for the model or the service, free or not. */
+  /** Returns true if there is an upstream for the model or the service, free or not. */
   boolean hasAny(UpstreamService service, @Nullable String model) {
     return !table.candidates(service, model).isEmpty();
   }
 
   /**
-   * Returns true if there are upstreams and this process may send a request to none of them now:
-   * each rests, or has a limit without a turn.
+   * Returns true if there are upstreams, but each is in a rest or has a limit without a turn due,
+   * so that this process may send none of them a request now.
    */
   boolean isHeldBack(UpstreamService service, @Nullable String model) {
-    List<FleetBox> standing = table.candidates(service, model);
-    return !standing.isEmpty() && standing.stream().noneMatch(backpressure::mayTake);
+    List<FleetBox> upstreams = table.candidates(service, model);
+    return !upstreams.isEmpty() && upstreams.stream().noneMatch(backpressure::maySendTo);
   }
 
-  private boolean isShunned(UpstreamLoad load, long nowNanos) {
+  private boolean isExcluded(UpstreamLoad load, long nowNanos) {
     if (load.isAvoided(nowNanos)) {
       return true;
     }
@@ -136,18 +135,17 @@
       return box.slots() > 0 && load.openCount() >= box.slots() * PLAIN_QUEUE_FACTOR;
     }
     double readMs = load.waitingPromptTokens() / engine.promptTokensPerSecond() * 1e3;
-    // A request that waits at an engine is late and delays all after it. A caller that is refused
-    // at
-    // once returns to a free place.
+    // A request that waits at an engine is late and delays all after it (head-of-line blocking). A
+    // caller that is refused at once can retry where a slot is free.
     return load.openCount() >= engine.slots()
-        || (load.openCount() > 0 && readMs > BACKLOG_PART * targetLatencyMs);
+        || (load.openCount() > 0 && readMs > MAX_BACKLOG_FRACTION * targetLatencyMs);
   }
 
   private double cost(UpstreamLoad load, FleetBox box, @Nullable EngineSpec engine) {
-    int places = Math.max(1, engine == null ? box.slots() : engine.slots());
-    double cost = (double) load.openCount() / places;
+    int slots = Math.max(1, engine == null ? box.slots() : engine.slots());
+    double cost = (double) load.openCount() / slots;
     if (engine != null) {
-      // The first event comes after what waits is read, and that holds up all others too.
+      // The first event comes after the waiting prompts are read, which delays all requests there.
       cost += load.waitingPromptTokens() / engine.promptTokensPerSecond() / READ_SECONDS_PER_COST;
     }
     cost += FAILURE_COST * load.failureMean();
--- a/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Upstreams that say in their answers that they are about to end. */
+/** An upstream whose answer announces its shutdown must get no more requests. */
 class LeavingUpstreamTest extends LoopbackRelay {
   private static final int CALLS = 20;
 
-  /** A process that was told sends nothing from this time on. */
+  /** Time after the announcement from which on a process sends the upstream nothing. */
   private static final int DRAIN_MS = 2_000;
 
   private static final FakeUpstream.Script LEAVING =
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void anUpstreamThatSaysItLeavesGetsNothingMore() throws Exception {
+  void anUpstreamThatAnnouncesItsShutdownGetsNoMoreRequests() throws Exception {
     FakeUpstream leaving = upstream("i-1", LEAVING);
     upstream("i-2", SERVING);
     int before = beginLeaving(leaving);
@@ -42,9 +42,9 @@
     assertThat(leaving.heads().size(), is(before));
   }
 
-  /** Its entry may be written anew before the list tells of the leaving. */
+  /** The list entry may be written again before the list marks the upstream as leaving. */
   @Test
-  void anEntryThatDoesNotTellOfTheLeavingDoesNotTakeItBack() throws Exception {
+  void aListEntryWithoutTheLeavingMarkDoesNotRevokeTheAnnouncement() throws Exception {
     FakeUpstream leaving = upstream("i-1", LEAVING);
     FakeUpstream serving = upstream("i-2", SERVING);
     int before = beginLeaving(leaving);
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void anotherValueIsNoLeaving() throws Exception {
+  void anotherHeaderValueIsNoAnnouncement() throws Exception {
     FakeUpstream staying =
         upstream(
             "i-1",
--- a/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
@@ -13,10 +13,10 @@
 import org.shoreroad.limit.LimitReport;
 import org.shoreroad.limit.RequestLimit;
 
-/** What one process does about upstreams that name a limit in their answers. */
+/** Requests of one process to upstreams that name a limit in their answers. */
 class LimitedUpstreamTest extends LoopbackRelay {
-  /** One request in ten thousand seconds: no second turn comes while a test runs. */
-  private static final String HARDLY_ANY = "0.0001";
+  /** One request per 10,000 seconds: no second turn becomes due while a test runs. */
+  private static final String ONE_PER_10000_S = "0.0001";
 
   private static FakeUpstream.Script naming(String limit) {
     return (head, out, socket) -> {
@@ -30,9 +30,9 @@
   }
 
   @Test
-  void anUpstreamAtItsLimitIsPassedOver() throws Exception {
+  void anUpstreamAtItsLimitIsSkipped() throws Exception {
     share(SELF);
-    FakeUpstream limited = upstream("i-1", naming(HARDLY_ANY));
+    FakeUpstream limited = upstream("i-1", naming(ONE_PER_10000_S));
     assertThat(call("/again/x"), containsString("served"));
     FakeUpstream other = upstream("i-2", naming("1000"));
     assertThat(call("/again/x"), containsString("served"));
@@ -46,9 +46,9 @@
   }
 
   @Test
-  void whereAllAreAtTheirLimitsARequestIsRefusedAndMayReturn() throws Exception {
+  void aRequestIsRefusedWithRetryAfterIfAllUpstreamsAreAtTheirLimits() throws Exception {
     share(SELF);
-    FakeUpstream limited = upstream("i-1", naming(HARDLY_ANY));
+    FakeUpstream limited = upstream("i-1", naming(ONE_PER_10000_S));
     call("/again/x");
     String answer = call("/again/x");
     assertThat(answer, startsWith("HTTP/1.1 503"));
@@ -58,16 +58,16 @@
   }
 
   @Test
-  void aHeadAtItsLimitIsPassedOverToo() throws Exception {
+  void aHeadAtItsLimitGetsNoRequests() throws Exception {
     share(SELF);
-    FakeUpstream limited = upstream(HEAD_PREFIX + "1", naming(HARDLY_ANY));
+    FakeUpstream limited = upstream(HEAD_PREFIX + "1", naming(ONE_PER_10000_S));
     call("/llm/x");
     assertThat(call("/llm/x"), startsWith("HTTP/1.1 503"));
     assertThat(limited.heads().size(), is(1));
   }
 
   @Test
-  void aReportOfAnotherProcessIsEnough() throws Exception {
+  void aLimitReportedByAnotherProcessApplies() throws Exception {
     share(SELF);
     FakeUpstream limited = upstream("i-1", naming("1000"));
     LimitReport report = new LimitReport(new Incarnation("i-1", 0), new RequestLimit(0), 0);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aRefusalNamesALimitAsAnyAnswer() throws Exception {
+  void aLimitInARefusalApplies() throws Exception {
     share(SELF);
     upstream(
         "i-1",
@@ -85,7 +85,7 @@
           write(
               out,
               "HTTP/1.1 503 No\r\nX-Attempt: a1\r\nX-Not-Run: 1\r\nX-Limit: "
-                  + HARDLY_ANY
+                  + ONE_PER_10000_S
                   + "\r\nContent-Length: 0\r\n\r\n");
           return true;
         });
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void aLimitThatIsNoNumberNeitherBindsNorEnds() throws Exception {
+  void aLimitThatIsNoNumberIsIgnored() throws Exception {
     share(SELF);
     FakeUpstream upstream = upstream("i-1", naming("soon"));
     for (int i = 0; i < 3; i++) {
@@ -104,9 +104,9 @@
     assertThat(logged(), not(containsString("upstream_limit")));
   }
 
-  /** Another upstream may have the address by now; what it says binds and frees nobody. */
+  /** Another upstream may have the address by now, so its answer must not change the limit. */
   @Test
-  void anAnswerOfAnotherUpstreamEndsNoLimit() throws Exception {
+  void anAnswerOfAnotherUpstreamDoesNotEndALimit() throws Exception {
     share(SELF);
     FakeUpstream limited =
         upstream(
--- a/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
@@ -8,23 +8,23 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Upstreams that turn a request away and ask for a time of rest. */
+/** Upstreams that reject a request with Retry-After, which demands a rest without requests. */
 class RestingUpstreamTest extends LoopbackRelay {
   private static final int CALLS = 40;
   private static final int REST_MS = 3_000;
 
-  /** A rest counts from this time after the refusal on. */
-  private static final int HEARD_MS = 500;
+  /** Time after the refusal from which on the rest must be kept. */
+  private static final int REST_START_MS = 500;
 
-  private static final int ALLOWED = 2;
+  private static final int MAX_REQUESTS_IN_REST = 2;
 
-  /** Turns each request away and asks for rest. */
-  private static FakeUpstream.Script resting(String more) {
+  /** Rejects each request and demands a rest of 3 s. */
+  private static FakeUpstream.Script resting(String extraHeaders) {
     return (head, out, socket) -> {
       write(
           out,
           "HTTP/1.1 503 No\r\nX-Attempt: a1\r\n"
-              + more
+              + extraHeaders
               + "Retry-After: 3\r\nContent-Length: 0\r\n\r\n");
       return true;
     };
@@ -35,35 +35,35 @@
   private void callOften(String path) throws Exception {
     for (int i = 0; i < CALLS; i++) {
       call(path);
-      passTime((REST_MS - HEARD_MS) / CALLS);
+      passTime((REST_MS - REST_START_MS) / CALLS);
     }
   }
 
-  /** Begins a rest, and returns how many requests came until then. */
+  /** Calls until the rest is in force; returns the number of requests received until then. */
   private int beginRest(FakeUpstream upstream, String path) throws Exception {
     while (upstream.heads().isEmpty()) {
       call(path);
-      passTime(HEARD_MS / CALLS);
+      passTime(REST_START_MS / CALLS);
     }
-    passTime(HEARD_MS);
+    passTime(REST_START_MS);
     return upstream.heads().size();
   }
 
-  private void checkRest(FakeUpstream resting, int before, String path) throws Exception {
+  private void assertRestKept(FakeUpstream resting, int before, String path) throws Exception {
     callOften(path);
-    assertThat(resting.heads().size() - before, lessThanOrEqualTo(ALLOWED));
+    assertThat(resting.heads().size() - before, lessThanOrEqualTo(MAX_REQUESTS_IN_REST));
   }
 
   @Test
-  void anUpstreamAtRestGetsNothing() throws Exception {
+  void anUpstreamInARestGetsNoRequests() throws Exception {
     FakeUpstream resting = upstream("i-1", NOT_RUN);
     upstream("i-2", SERVING);
     int before = beginRest(resting, "/again/x");
-    checkRest(resting, before, "/again/x");
+    assertRestKept(resting, before, "/again/x");
   }
 
   @Test
-  void aHeadAtRestGetsNothing() throws Exception {
+  void aHeadInARestGetsNoRequests() throws Exception {
     FakeUpstream resting = upstream(HEAD_PREFIX + "1", NOT_RUN);
     upstream(
         HEAD_PREFIX + "2",
@@ -72,30 +72,30 @@
           return true;
         });
     int before = beginRest(resting, "/llm/x");
-    checkRest(resting, before, "/llm/x");
+    assertRestKept(resting, before, "/llm/x");
   }
 
-  /** A refusal may lack the mark that the request did not run; the rest counts all the same. */
+  /** A refusal may lack the header that says the request did not run; its rest still applies. */
   @Test
-  void aRefusalThatPromisesNothingAsksForRestToo() throws Exception {
+  void aRefusalWithoutTheNotRunHeaderStartsARest() throws Exception {
     FakeUpstream resting = upstream("i-1", resting("X-Seal: s\r\n"));
     upstream("i-2", SERVING);
     int before = beginRest(resting, "/again/x");
-    checkRest(resting, before, "/again/x");
+    assertRestKept(resting, before, "/again/x");
   }
 
   @Test
-  void anUpstreamThatIsListedAnewStillRests() throws Exception {
+  void aRestContinuesWhenTheUpstreamIsListedAgain() throws Exception {
     FakeUpstream resting = upstream("i-1", NOT_RUN);
     upstream("i-2", SERVING);
     int before = beginRest(resting, "/again/x");
     unlist("i-1");
     list("i-1", resting);
-    checkRest(resting, before, "/again/x");
+    assertRestKept(resting, before, "/again/x");
   }
 
   @Test
-  void anUpstreamGetsRequestsAgainWhenItsRestIsOver() throws Exception {
+  void anUpstreamGetsRequestsAgainAfterItsRest() throws Exception {
     FakeUpstream resting = upstream("i-1", NOT_RUN);
     int before = beginRest(resting, "/again/x");
     passTime(REST_MS);
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void whereAllRestARequestIsRefusedAtOnceAndMayReturn() throws Exception {
+  void aRequestIsRefusedAtOnceWithRetryAfterIfAllUpstreamsAreInARest() throws Exception {
     FakeUpstream resting = upstream("i-1", NOT_RUN);
     int before = beginRest(resting, "/again/x");
     String answer = call("/again/x");
@@ -114,9 +114,9 @@
     assertThat(resting.heads().size(), is(before));
   }
 
-  /** Date forms and other texts are no time: the upstream is passed over for a moment only. */
+  /** Dates and other texts are not supported: the upstream is avoided only for a moment. */
   @Test
-  void aRestThatIsNoNumberIsPassedOver() throws Exception {
+  void aRetryAfterThatIsNoNumberStartsNoRest() throws Exception {
     FakeUpstream refusing =
         upstream(
             "i-1",
@@ -128,7 +128,7 @@
               return true;
             });
     call("/again/x");
-    passTime(HEARD_MS);
+    passTime(REST_START_MS);
     call("/again/x");
     assertThat(refusing.heads().size(), is(2));
   }
