--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestQuarantine.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestQuarantine.java
@@ -13,12 +13,12 @@
 import org.shoreroad.quarantine.RequestFingerprint;
 
 /**
- * The quarantine of this process: asked on each way by which a request reaches an upstream, fed by
- * the exchanges and by the reports of other processes.
+ * Keeps requests that crash upstreams from being sent to more of them.
  *
- * <p>A request is identified only while a crash under any request is known: the fingerprint takes
- * 14 microseconds with a body of 710 bytes and 26 with 2,000 (C1 compiler, mean of 1,000). Used on
- * the event loop.
+ * <p>Checked wherever a request can reach an upstream; updated by the exchanges of this process and
+ * by the reports of other processes. The fingerprint of a request is computed only while a crash
+ * under any request is recorded, because that takes 14 microseconds with a body of 710 bytes and 26
+ * with 2,000 (C1 compiler, mean of 1,000). Used on the event loop.
  *
  * @since 0.2
  */
@@ -38,30 +38,30 @@
   }
 
   /**
-   * Sets what takes requests that have just been quarantined, by this process or by another one.
+   * Sets the callback for requests that have just been quarantined, by this process or another one.
    *
-   * @param listener ends what is open of them, not null
+   * @param listener ends the open exchanges of these requests, not null
    */
   public void setListener(Consumer<Set<RequestFingerprint>> listener) {
     this.listener = listener;
   }
 
   /**
-   * Sets what takes requests that this process has quarantined, so that they stay so when all
-   * processes end.
+   * Sets the callback for requests that this process has quarantined, so that the quarantine
+   * survives a restart of all processes.
    *
-   * @param recorder keeps the report, not null
+   * @param recorder stores the report, not null
    */
   public void setRecorder(Consumer<CrashReport> recorder) {
     this.recorder = recorder;
   }
 
-  /** Returns what to tell the other processes now. */
+  /** Returns the reports that are due to be sent to the other processes. */
   public List<CrashReport> reports() {
     return quarantine.reports(clockNanos.getAsLong());
   }
 
-  /** Joins the reports of another process. */
+  /** Applies the reports of another process. */
   public void learn(Collection<CrashReport> reports) {
     if (reports.isEmpty()) {
       return;
@@ -73,12 +73,12 @@
     }
   }
 
-  /** Returns how many requests are quarantined. */
+  /** Returns the number of quarantined requests. */
   public int quarantinedCount() {
     return quarantine.quarantinedCount(clockNanos.getAsLong());
   }
 
-  /** Notes a caller's request; returns true if it is quarantined. */
+  /** Records the arrival of a caller's request; returns true if it is quarantined. */
   boolean recordArrival(Supplier<RequestFingerprint> request) {
     return !quarantine.isEmpty() && quarantine.recordArrival(request.get(), clockNanos.getAsLong());
   }
@@ -88,7 +88,7 @@
     return !quarantine.isEmpty() && quarantine.isQuarantined(request.get(), clockNanos.getAsLong());
   }
 
-  /** Notes that an upstream ended under the request. */
+  /** Records that an upstream crashed while it had the request. */
   void recordCrash(RequestFingerprint request, Crash crash) {
     counters.count("shoreroad.requests.crashed", crash.hadBegun() ? "running" : "waiting");
     if (quarantine.recordCrash(request, crash, clockNanos.getAsLong())) {
@@ -98,15 +98,15 @@
     }
   }
 
-  /** Notes that an upstream has answered the request in whole. */
+  /** Records that an upstream has answered the request completely. */
   void recordAnswer(Supplier<RequestFingerprint> request) {
     if (!quarantine.isEmpty()) {
       quarantine.recordAnswer(request.get(), clockNanos.getAsLong());
     }
   }
 
-  private void logQuarantined(RequestFingerprint request, String by) {
-    counters.count("shoreroad.requests.quarantined", by);
-    log.write("request_quarantined", "fingerprint", request, "by", by);
+  private void logQuarantined(RequestFingerprint request, String source) {
+    counters.count("shoreroad.requests.quarantined", source);
+    log.write("request_quarantined", "fingerprint", request, "by", source);
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
@@ -21,15 +21,15 @@
 import org.shoreroad.quarantine.CrashReport;
 import org.shoreroad.quarantine.RequestFingerprint;
 
-/** A request that ends each upstream that begins to run it. */
+/** A request that crashes each upstream that begins to run it must not reach more than three. */
 class CrashingRequestTest extends LoopbackRelay {
-  private static final int RETURNS = 6;
+  private static final int CALLS = 6;
   private static final int UPSTREAMS = 8;
   private static final int CRASHES_ALLOWED = 3;
 
   private final List<FakeUpstream> upstreams = new ArrayList<>();
 
-  /** Begins to answer and closes the connection if the path says so, else answers. */
+  /** Closes the connection within the answer if the path contains "/crash", else answers. */
   private static final FakeUpstream.Script CRASHING =
       (head, out, socket) -> {
         if (head.contains("/crash")) {
@@ -53,18 +53,18 @@
         .count();
   }
 
-  private String returnWith(String path) throws Exception {
+  private String callRepeatedly(String path) throws Exception {
     String answer = "";
-    for (int i = 0; i < RETURNS; i++) {
+    for (int i = 0; i < CALLS; i++) {
       answer = call(path);
     }
     return answer;
   }
 
   @Test
-  void aRequestThatEndsThreeUpstreamsIsNotSentToAFourth() throws Exception {
+  void aRequestThatCrashesThreeUpstreamsIsNotSentToAFourth() throws Exception {
     startUpstreams("i-");
-    String answer = returnWith("/again/crash");
+    String answer = callRepeatedly("/again/crash");
     assertThat(countArrivals("/again/crash"), lessThanOrEqualTo((long) CRASHES_ALLOWED));
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(answer.toLowerCase(), containsString("retry-after: "));
@@ -73,18 +73,19 @@
   }
 
   @Test
-  void aRequestThatMayRunOnlyOnceIsCountedOverItsCallersReturns() throws Exception {
+  void crashesOfARequestThatMayRunOnlyOnceAreCountedOverTheRetriesOfItsCaller() throws Exception {
     startUpstreams("i-");
-    returnWith("/once/crash");
+    callRepeatedly("/once/crash");
     assertThat(countArrivals("/once/crash"), is((long) CRASHES_ALLOWED));
   }
 
   /**
-   * The crash that begins the quarantine ends the copies that wait. The request that has just
-   * crashed its upstream is one of the open ones, and it has run: 503 would be a false promise.
+   * The crash that starts the quarantine ends all open copies of the request, including the one
+   * that has just crashed its upstream. That one has run, so the answer must not be 503, which
+   * promises that it has not.
    */
   @Test
-  void aTryThatRanIsNotPromisedNotToHaveRun() throws Exception {
+  void anAttemptThatRanIsNotAnsweredWith503() throws Exception {
     startUpstreams("i-");
     for (int i = 0; i < CRASHES_ALLOWED; i++) {
       assertThat(call("/once/crash"), startsWith("HTTP/1.1 502"));
@@ -96,45 +97,45 @@
   }
 
   @Test
-  void aStreamOfAModelIsCountedTheSameWay() throws Exception {
+  void crashesOfAModelStreamAreCountedToo() throws Exception {
     startUpstreams(HEAD_PREFIX);
-    returnWith("/llm/crash");
+    callRepeatedly("/llm/crash");
     assertThat(countArrivals("/llm/crash"), is((long) CRASHES_ALLOWED));
   }
 
-  /** The lines on boxes and heads name the id alone, and reports on a request join them by it. */
+  /** Analyses of a request join its log lines with those of boxes and heads by the bare id. */
   @Test
-  void theLineOnAnAttemptNamesTheUpstreamByItsId() throws Exception {
+  void theLogLineOfAnAttemptNamesTheUpstreamById() throws Exception {
     upstream("i-7", CRASHING);
     call("/once/crash");
     assertThat(logged(), containsString("\"upstream\":\"i-7\",\"bornMs\":0,"));
   }
 
   @Test
-  void anotherPathIsSentToUpstreamsAsBefore() throws Exception {
+  void aRequestWithAnotherPathIsNotQuarantined() throws Exception {
     startUpstreams("i-");
-    returnWith("/again/crash");
+    callRepeatedly("/again/crash");
     assertThat(call("/again/crash?other"), startsWith("HTTP/1.1 502"));
   }
 
   @Test
-  void aReportOfAnotherProcessIsEnough() throws Exception {
+  void crashesReportedByAnotherProcessCount() throws Exception {
     startUpstreams("i-");
     String path = "/again/crash";
     call(path);
     List<CrashReport> reports = new ArrayList<>();
     loop.submit(() -> reports.addAll(quarantine.reports())).sync();
     CrashReport own = reports.get(0);
-    Crash elsewhere = new Crash(new Incarnation("i-elsewhere", 1), true);
-    CrashReport told =
-        new CrashReport(own.fingerprint(), List.of(elsewhere), Set.of(), own.idleMs());
-    loop.submit(() -> quarantine.learn(List.of(told))).sync();
+    Crash peerCrash = new Crash(new Incarnation("i-elsewhere", 1), true);
+    CrashReport report =
+        new CrashReport(own.fingerprint(), List.of(peerCrash), Set.of(), own.idleMs());
+    loop.submit(() -> quarantine.learn(List.of(report))).sync();
     assertThat(call(path), startsWith("HTTP/1.1 503"));
     assertThat(countArrivals(path), is(2L));
   }
 
   @Test
-  void aCopyThatStillWaitsAtAnUpstreamIsTakenBack() throws Exception {
+  void anAttemptThatWaitsAtAnUpstreamIsCancelledByTheQuarantine() throws Exception {
     CountDownLatch waiting = new CountDownLatch(1);
     CountDownLatch closed = new CountDownLatch(1);
     FakeUpstream upstream =
@@ -165,8 +166,8 @@
     for (int i = 0; i < CRASHES_ALLOWED; i++) {
       crashes.add(new Crash(new Incarnation("j-" + i, 1), true));
     }
-    CrashReport told = new CrashReport(same, crashes, Set.of(), 0);
-    loop.submit(() -> quarantine.learn(List.of(told))).sync();
+    CrashReport report = new CrashReport(same, crashes, Set.of(), 0);
+    loop.submit(() -> quarantine.learn(List.of(report))).sync();
     assertThat(answer.get(), startsWith("HTTP/1.1 502"));
     assertThat(closed.await(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS), is(true));
     assertThat(upstream.heads().size(), is(1));
