--- a/edge/src/main/java/org/shoreroad/edge/relay/OpenAttempts.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/OpenAttempts.java
@@ -6,10 +6,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The attempts of one request that have not ended, the oldest first; used on the event loop only.
+ * The attempts of one request that have not ended, oldest first. Used on the event loop only.
  *
- * <p>There is one, unless an upstream fell silent and the request was sent to another one as well.
- * A silent upstream may go on, so its attempt is cancelled only once another one answers.
+ * <p>There is one attempt, unless an upstream stalled and the request was sent to another one as
+ * well. A stalled upstream may recover, so its attempt is cancelled only once another one answers.
  */
 final class OpenAttempts {
   private final List<Attempt> open = new ArrayList<>(1);
@@ -26,7 +26,7 @@
     return open.isEmpty();
   }
 
-  /** Returns the attempt that began last, or null if none is open. */
+  /** Returns the latest attempt, or null if none is open. */
   @Nullable Attempt newest() {
     return open.isEmpty() ? null : open.get(open.size() - 1);
   }
@@ -43,12 +43,12 @@
         .orElse(null);
   }
 
-  /** Returns true if a byte of any of them may have left this process. */
+  /** Returns true if a byte of any attempt may have left this process. */
   boolean isAnySent() {
     return open.stream().anyMatch(Attempt::hasLeft);
   }
 
-  /** Cancels all but one; returns true if there was another one. */
+  /** Cancels all attempts but one; returns true if there was another one. */
   boolean keepOnly(Attempt kept) {
     if (open.size() < 2) {
       return false;
@@ -57,7 +57,7 @@
     return true;
   }
 
-  /** Cancels those whose upstream has not begun to answer. */
+  /** Cancels the attempts whose upstream has not begun to answer. */
   void cancelUnanswered() {
     cancelIf(attempt -> !attempt.hasHead());
   }
@@ -72,7 +72,7 @@
     cancelled.forEach(Attempt::cancel);
   }
 
-  /** Stops or resumes reading the answers. */
+  /** Stops or resumes reading the answers of all attempts. */
   void setReading(boolean isReading) {
     open.forEach(attempt -> attempt.setReading(isReading));
   }
--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestTargets.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestTargets.java
@@ -5,8 +5,8 @@
 import org.shoreroad.traffic.UpstreamService;
 
 /**
- * The upstreams that one request may be sent to: those of its service, and of its model where the
- * service has models, that have not had it. Used on the event loop only.
+ * The upstreams that one request may be sent to: the untried ones of its service and, if the
+ * service has engines, of its model. Used on the event loop only.
  */
 final class RequestTargets {
   private final UpstreamSelector selector;
@@ -18,10 +18,10 @@
   /**
    * Creates the targets of a request.
    *
-   * @param service the service, or null if the configuration lacks it: then there is no upstream
+   * @param service the service, or null if the configuration lacks it, which means no upstream
    * @param model the model that the request names, not null
    * @param sends the attempts so far, not null
-   * @param targetLatencyMs the time within which an answer is wanted, in milliseconds
+   * @param targetLatencyMs the target time to the first event of the answer, in milliseconds
    */
   RequestTargets(
       UpstreamSelector selector,
@@ -36,24 +36,24 @@
     this.targetLatencyMs = targetLatencyMs;
   }
 
-  /** Returns the best upstream that takes the request now, or empty. */
+  /** Returns the best upstream that can take the request now, or empty if none can. */
   Optional<Target> choose() {
     return service == null
         ? Optional.empty()
         : selector.choose(service, model, sends.triedIds(), targetLatencyMs);
   }
 
-  /** Returns true if an upstream takes the request now. */
+  /** Returns true if an upstream can take the request now. */
   boolean isAnyFree() {
     return choose().isPresent();
   }
 
-  /** Returns true if there is any upstream, free or not. */
+  /** Returns true if there is an upstream for the request, free or not. */
   boolean hasAny() {
     return service != null && selector.hasAny(service, model);
   }
 
-  /** Returns true if there are upstreams, and limits or rests hold back requests to all of them. */
+  /** Returns true if there are upstreams, but limits or rests forbid requests to all of them. */
   boolean isHeldBack() {
     return service != null && selector.isHeldBack(service, model);
   }
--- a/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/SendHistory.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * The attempts of one request so far, and how many are left. Used on the event loop only.
+ * The attempts of one request so far, and the number still allowed. Used on the event loop only.
  *
- * <p>An attempt counts once a byte of it may have left this process.
+ * <p>An attempt counts as sent once a byte of it may have left this process.
  */
 final class SendHistory {
-  /** Attempts that never left this process, such as refused connections, are bounded by this. */
+  /** Maximum number of attempts of which nothing was sent, such as refused connections. */
   private static final int MAX_UNSENT = 6;
 
   private final Set<String> triedIds = new HashSet<>();
@@ -19,30 +19,28 @@
   private boolean mayHaveRun;
 
   /**
-   * Sets how many upstreams the request may be sent to.
+   * Sets the number of upstreams that the request may be sent to.
    *
-   * @param maxAttempts the most upstreams, positive
+   * @param maxAttempts the maximum number of upstreams, positive
    */
   void setMaxAttempts(int maxAttempts) {
     attemptsLeft = maxAttempts;
   }
 
-  /** Notes that a byte may have left for an upstream. */
+  /** Records an attempt of which a byte may have left this process. */
   void recordSent(String upstreamId) {
     sent++;
     attemptsLeft--;
     triedIds.add(upstreamId);
   }
 
-  /** Notes an attempt of which nothing has left. */
+  /** Records an attempt of which nothing has left this process. */
   void recordUnsent(String upstreamId) {
     unsent++;
     triedIds.add(upstreamId);
   }
 
-  /**
-   * Notes that an upstream may have run the request, so that a promise of the contrary is false.
-   */
+  /** Records that an upstream may have run the request, so that no answer may deny it. */
   void recordMayHaveRun() {
     mayHaveRun = true;
   }
@@ -51,7 +49,7 @@
     return mayHaveRun;
   }
 
-  /** Returns true while another upstream may be sent the request. */
+  /** Returns true if the request may be sent to another upstream. */
   boolean hasAttemptsLeft() {
     return attemptsLeft > 0;
   }
@@ -68,7 +66,7 @@
     return sent;
   }
 
-  /** Returns the ids of the upstreams that are not to be tried again. */
+  /** Returns the ids of the upstreams that must not be tried again. */
   Set<String> triedIds() {
     return triedIds;
   }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Target.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Target.java
@@ -4,10 +4,10 @@
 import org.shoreroad.fleet.FleetBox;
 
 /**
- * The upstream that a request is sent to.
+ * An upstream that a request is sent to, with its load. Used on the event loop.
  *
- * @param box the upstream: the head of a replica, or one of a plain service
- * @param load what this process knows of its load
+ * @param box the upstream: the head of a replica, or an upstream of a plain service
+ * @param load the load of the upstream as known to this process
  * @since 0.2
  */
 record Target(FleetBox box, UpstreamLoad load) {
