--- a/edge/src/main/java/org/shoreroad/edge/relay/EventTiming.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/EventTiming.java
@@ -4,9 +4,7 @@
 import org.jspecify.annotations.Nullable;
 import org.shoreroad.traffic.Route;
 
-/**
- * When the events of one answer were passed on, as its caller sees them; used on the event loop.
- */
+/** Times at which the events of one answer were passed on to the caller. Used on the event loop. */
 final class EventTiming {
   private final long arrivedNanos;
   private long firstNanos;
@@ -17,13 +15,13 @@
   /**
    * Creates the timing of a request without events.
    *
-   * @param arrivedNanos when the request arrived, on the steady clock
+   * @param arrivedNanos the time on the steady clock at which the request arrived
    */
   EventTiming(long arrivedNanos) {
     this.arrivedNanos = arrivedNanos;
   }
 
-  /** Notes that an event was passed on. */
+  /** Records that an event was passed on. */
   void recordEvent(long nowNanos) {
     if (hasBegun) {
       longestPauseNanos = Math.max(longestPauseNanos, nowNanos - lastNanos);
@@ -34,12 +32,12 @@
     lastNanos = nowNanos;
   }
 
-  /** Returns how long after the request its first event was passed on, in milliseconds. */
+  /** Returns the time from the request to its first event, in milliseconds. */
   long firstMs() {
     return TimeUnit.NANOSECONDS.toMillis(firstNanos - arrivedNanos);
   }
 
-  /** Returns for how long nothing has been passed on, in milliseconds. */
+  /** Returns the time since the last event, or since the request if none came, in milliseconds. */
   long silentMs(long nowNanos) {
     return TimeUnit.NANOSECONDS.toMillis(nowNanos - (hasBegun ? lastNanos : arrivedNanos));
   }
@@ -50,8 +48,8 @@
   }
 
   /**
-   * Returns what made the answer late, {@code first_event} or {@code pause}, or null if it was in
-   * time for its route.
+   * Returns the target of the route that the answer missed, {@code first_event} or {@code pause},
+   * or null if it met both or has no event. If both are missed, this is {@code first_event}.
    */
   @Nullable String lateReason(Route route) {
     if (!hasBegun) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/FleetSummary.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/FleetSummary.java
@@ -12,8 +12,8 @@
 import org.shoreroad.traffic.UpstreamService;
 
 /**
- * Writes log lines on the state of models and boxes, so that a lack of replicas can be seen
- * afterwards. Used on the event loop.
+ * Logs the state of models and boxes, so that a lack of replicas can be analyzed afterwards. Used
+ * on the event loop.
  *
  * @since 0.2
  */
@@ -29,7 +29,7 @@
     this.log = log;
   }
 
-  /** Writes a line on each model of the service: heads, those suspected, and what they have. */
+  /** Logs the open and the suspected heads of each model of the service, with their total load. */
   public void summarize(UpstreamService service) {
     if (service.engine() == null) {
       return;
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Writes a line on how many boxes serve, and what the others are doing. */
+  /** Logs the number of boxes in each state. */
   public void summarizeBoxes() {
     Map<String, Integer> counts = new TreeMap<>();
     for (FleetBox box : fleet.boxes()) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/RetryAfter.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RetryAfter.java
@@ -3,23 +3,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a caller that is refused is asked to return.
+ * Delay after which a refused caller is asked to retry.
  *
- * <p>Each delay is the time in which what the request lacked comes about as a rule. It is spread,
- * so that callers refused together do not return together.
+ * <p>Each delay is the usual time until the cause of the refusal has passed, in milliseconds. It is
+ * randomized, so that callers refused together do not retry together.
  */
 enum RetryAfter {
   /** Another process can take the request now. */
   AT_ONCE(10),
-  /** A place at a replica or a plain upstream comes free in about this time. */
+  /** A slot at a replica or a plain upstream usually becomes free within this time. */
   PLACE(400),
-  /** A replica that lost a member is mended, or a proof of the configuration renewed, by then. */
+  /**
+   * A replica that lost a member usually serves again, or the proof of the configuration is
+   * renewed, within this time.
+   */
   REPLICA(700),
   /** The quarantine of a request that is not sent again ends after ten minutes. */
   QUARANTINE(600_000);
 
   private static final double SPREAD = 0.5;
-  private static final double MILLIS = 1e3;
+  private static final double MILLIS_PER_SECOND = 1e3;
 
   private final int delayMs;
 
@@ -27,9 +30,9 @@
     this.delayMs = delayMs;
   }
 
-  /** Returns the header's value in seconds, from the delay to one and a half times the delay. */
+  /** Returns the header value: seconds, from the delay to one and a half times the delay. */
   String headerValue(RandomGenerator random) {
-    double spreadMs = delayMs * (1 + SPREAD * random.nextDouble());
-    return Double.toString(Math.round(spreadMs) / MILLIS);
+    double randomizedMs = delayMs * (1 + SPREAD * random.nextDouble());
+    return Double.toString(Math.round(randomizedMs) / MILLIS_PER_SECOND);
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/EventTimingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/EventTimingTest.java
@@ -34,12 +34,12 @@
   }
 
   @Test
-  void withoutEventsNothingIsLate() {
+  void anAnswerWithoutEventsIsNotLate() {
     assertThat(timing.lateReason(ROUTE), is(nullValue()));
   }
 
   @Test
-  void inTimeUpToBothTargets() {
+  void anAnswerThatJustMeetsBothTargetsIsNotLate() {
     timing.recordEvent(ms(1_500));
     timing.recordEvent(ms(1_800));
     assertThat(timing.firstMs(), is(500L));
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void aLateFirstEventGoesBeforeAPause() {
+  void aLateFirstEventTakesPrecedenceOverAPause() {
     timing.recordEvent(ms(1_501));
     timing.recordEvent(ms(2_000));
     assertThat(timing.lateReason(ROUTE), is("first_event"));
   }
 
   @Test
-  void theLongestPauseCounts() {
+  void theLongestPauseMakesAnAnswerLate() {
     timing.recordEvent(ms(1_100));
     timing.recordEvent(ms(1_401));
     timing.recordEvent(ms(1_410));
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void theSilenceCountsFromTheRequestAndThenFromTheLastEvent() {
+  void silenceIsMeasuredFromTheRequestAndThenFromTheLastEvent() {
     assertThat(timing.silentMs(ms(1_250)), is(250L));
     timing.recordEvent(ms(1_500));
     assertThat(timing.silentMs(ms(1_600)), is(100L));
--- a/edge/src/test/java/org/shoreroad/edge/relay/RetryAfterTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RetryAfterTest.java
@@ -13,7 +13,7 @@
 
 class RetryAfterTest {
   @Test
-  void returnsAreSpreadOverHalfOfTheDelay() {
+  void retriesAreSpreadOverHalfOfTheDelay() {
     SplittableRandom random = new SplittableRandom(5);
     DoubleSummaryStatistics seconds =
         DoubleStream.generate(() -> Double.parseDouble(RetryAfter.PLACE.headerValue(random)))
