--- a/edge/src/test/java/org/shoreroad/edge/relay/ShortlistTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/ShortlistTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.shoreroad.fleet.FleetBox;
 
-/** Which upstreams a process compares. */
+/** The sample of upstreams that a process compares for one request. */
 class ShortlistTest {
   private static final int ZONES = 5;
 
@@ -31,14 +31,14 @@
   }
 
   @Test
-  void fewProcessesCompareAll() {
+  void fewProcessesCompareAllUpstreams() {
     List<FleetBox> boxes = boxes(10);
     List<FleetBox> drawn = Shortlist.draw(boxes, "z0", 12, new SplittableRandom(1));
     assertThat(drawn, containsInAnyOrder(boxes.toArray()));
   }
 
   @Test
-  void ofManyEachComparesAsManyOfItsZoneAsOfAllOthers() {
+  void manyProcessesCompareAsManyUpstreamsOfTheirZoneAsOfAllOthers() {
     for (int seed = 0; seed < 20; seed++) {
       List<FleetBox> drawn = Shortlist.draw(boxes(35), "z2", 95, new SplittableRandom(seed));
       long near = drawn.stream().filter(box -> box.zone().equals("z2")).count();
@@ -49,13 +49,13 @@
   }
 
   @Test
-  void aZoneWithoutUpstreamsComparesThoseOfOthers() {
+  void aProcessInAZoneWithoutUpstreamsComparesThoseOfOtherZones() {
     assertThat(Shortlist.draw(boxes(35), "z9", 95, new SplittableRandom(3)).size(), is(4));
     assertThat(Shortlist.draw(List.of(), "z9", 95, new SplittableRandom(3)).size(), is(0));
   }
 
   @Test
-  void overManyDrawsNoUpstreamOfAZoneIsPreferred() {
+  void allUpstreamsOfAZoneAreDrawnEquallyOften() {
     SplittableRandom random = new SplittableRandom(5);
     List<FleetBox> boxes = boxes(35);
     Map<String, Integer> draws = new HashMap<>();
@@ -64,7 +64,7 @@
           .filter(box -> box.zone().equals("z1"))
           .forEach(box -> draws.merge(box.id(), 1, Integer::sum));
     }
-    // Four of seven, 4,000 draws each; six standard deviations are 250.
+    // Four of seven are drawn, so 4,000 times each; six standard deviations are 250.
     draws
         .values()
         .forEach(
