--- a/edge/src/main/java/org/shoreroad/edge/relay/DemandMeter.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/DemandMeter.java
@@ -18,14 +18,15 @@
   private final UpstreamTable table;
   private boolean hasTraffic;
 
-  /** Creates a meter that has seen no traffic. */
+  /** Creates a meter that has measured no traffic yet. */
   public DemandMeter(UpstreamTable table) {
     this.table = table;
   }
 
   /**
-   * Returns how pressed each model of the service is: the requests open at its replicas, over all
-   * processes, for each of their places. A model without any replica is pressed beyond measure.
+   * Returns the pressure on each model of the service: the requests open at its replicas, over all
+   * processes, divided by the slots of these replicas. A model without a replica has {@link
+   * Demand#NO_REPLICA_PRESSURE}, more than any model with a replica.
    */
   public Demand demand(UpstreamService service) {
     Map<String, Double> pressures = new HashMap<>();
@@ -37,8 +38,8 @@
     for (ModelShape model : engine.models()) {
       List<FleetBox> heads = table.candidates(service, model.name());
       int open = heads.stream().mapToInt(head -> table.loadOf(head.id()).openCount()).sum();
-      double places = (double) heads.size() * engine.slots();
-      pressures.put(model.name(), places == 0 ? Demand.NO_REPLICA_PRESSURE : open / places);
+      double slots = (double) heads.size() * engine.slots();
+      pressures.put(model.name(), slots == 0 ? Demand.NO_REPLICA_PRESSURE : open / slots);
       replicas.put(model.name(), heads.size());
       hasTraffic |= open > 0;
     }
--- a/edge/src/main/java/org/shoreroad/edge/relay/StallDetector.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/StallDetector.java
@@ -10,27 +10,26 @@
 import org.shoreroad.edge.EventLog;
 
 /**
- * Detects replicas that stand still and has their requests sent to other heads as well.
+ * Detects stalled replicas and has their requests sent to other heads as well.
  *
- * <p>A replica whose engine lost a member takes requests on, and none of them moves. So a head from
- * which no request of this process got anything for longer than its passes can take is suspected:
- * it gets nothing new, and what it has is sent elsewhere too. Used on the event loop.
+ * <p>A replica whose engine lost a member still accepts requests, but makes no progress on any of
+ * them. A head that has sent this process no event for longer than its passes can take is therefore
+ * suspected: it gets no new requests, and those open at it are also sent to other heads. Used on
+ * the event loop.
  *
  * @since 0.2
  */
 public final class StallDetector {
-  /**
-   * A head that gave this process something within this time is not suspected on a peer's report.
-   */
+  /** A head that made progress here this recently is not suspected on a peer's report. */
   private static final long RECENT_PROGRESS_NANOS = TimeUnit.MILLISECONDS.toNanos(120);
 
-  /** A request that could not be sent elsewhere from a silent head is tried again this soon. */
-  private static final long MOVE_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
+  /** Delay before another attempt to send a request of a stalled head to another one. */
+  private static final long RESEND_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
   private final UpstreamTable table;
   private final LongSupplier clockNanos;
   private final EventLog log;
-  private Consumer<String> onSuspicion = head -> {};
+  private Consumer<String> suspicionListener = head -> {};
 
   /** Creates a detector that suspects no head. */
   public StallDetector(UpstreamTable table, LongSupplier clockNanos, EventLog log) {
@@ -39,26 +38,26 @@
     this.log = log;
   }
 
-  /** Sets what takes the id of a head that this process finds to stand still. */
+  /** Sets the callback for the id of a head that this process finds stalled. */
   public void setSuspicionListener(Consumer<String> listener) {
-    onSuspicion = listener;
+    suspicionListener = listener;
   }
 
-  /** Returns the heads that are suspected now, by this process or on a peer's report. */
+  /** Returns the ids of the heads that are suspected now, by this process or by a peer. */
   public Set<String> suspectedIds() {
     long nowNanos = clockNanos.getAsLong();
     return idsOf(load -> load.isSuspectedAt(nowNanos));
   }
 
   /**
-   * Returns the heads whose silence this process found itself, to be reported to the peers.
+   * Returns the ids of the heads that this process itself found stalled, for the reports to peers.
    *
    * <p>Suspicions reported by peers are not included. If each process repeated them as its own,
-   * they would circulate without end and keep callers away from replicas that serve again.
+   * they would circulate forever and keep requests away from replicas that have recovered.
    */
   public Set<String> ownSuspectedIds() {
     long nowNanos = clockNanos.getAsLong();
-    return idsOf(load -> load.isSuspectedHereAt(nowNanos));
+    return idsOf(load -> load.hasOwnSuspicionAt(nowNanos));
   }
 
   private Set<String> idsOf(Predicate<UpstreamLoad> condition) {
@@ -75,10 +74,10 @@
   }
 
   /**
-   * Takes over a peer's suspicions, unless a head has moved for this process since.
+   * Applies the suspicions of a peer, except for heads with recent progress at this process.
    *
-   * <p>They keep new requests away. Requests that are open here are sent elsewhere by the timeout
-   * of this process only: if all processes did so at once, the other heads would be overloaded.
+   * <p>A suspected head gets no new requests. Open requests of this process are sent to other heads
+   * only after its own timeout: if all processes did so at once, these would be overloaded.
    *
    * @return true if a head is newly suspected
    */
@@ -92,10 +91,10 @@
 
   private boolean suspectByPeer(String boxId, long nowNanos) {
     UpstreamLoad load = table.loadOf(boxId);
-    boolean hasMoved =
+    boolean hasProgressed =
         load.ownOpenCount() > 0 && nowNanos - load.progressNanos() < RECENT_PROGRESS_NANOS;
-    // A peer that has not seen the new formation reports the silence of the former one.
-    if (hasMoved || load.isSuspected() || load.isNewlyFormedAt(nowNanos)) {
+    // A peer without the newest fleet state may report a stall of the former replica.
+    if (hasProgressed || load.isSuspected() || load.isNewlyFormedAt(nowNanos)) {
       return false;
     }
     load.suspect(false, nowNanos);
@@ -104,10 +103,10 @@
   }
 
   /**
-   * Looks for heads that stand still and has their requests sent elsewhere too.
+   * Finds stalled heads and has their requests sent to other heads as well.
    *
-   * @return the time until the next head can have been silent for too long, or a request can be
-   *     sent elsewhere, in nanoseconds; {@link Long#MAX_VALUE} if neither can be
+   * @return the time until the next stall timeout can expire or the next attempt to send a request
+   *     to another head is due, in nanoseconds; {@link Long#MAX_VALUE} if there is neither
    */
   public long findStalled() {
     long nowNanos = clockNanos.getAsLong();
@@ -118,20 +117,20 @@
         if (engine == null) {
           continue;
         }
-        long limitNanos = SilenceLimit.nanos(engine, load, nowNanos);
-        long leftNanos = limitNanos - (nowNanos - load.silentSinceNanos());
+        long timeoutNanos = StallTimeout.nanos(engine, load, nowNanos);
+        long leftNanos = timeoutNanos - (nowNanos - load.silentSinceNanos());
         if (leftNanos >= 0) {
           nextNanos = Math.min(nextNanos, leftNanos);
-        } else if (stall(load, exchange, nowNanos)) {
-          nextNanos = Math.min(nextNanos, MOVE_AGAIN_NANOS);
+        } else if (suspectAndResend(load, exchange, nowNanos)) {
+          nextNanos = Math.min(nextNanos, RESEND_DELAY_NANOS);
         }
       }
     }
     return nextNanos;
   }
 
-  /** Returns true if the request could not be sent elsewhere now and may be soon. */
-  private boolean stall(UpstreamLoad load, Exchange exchange, long nowNanos) {
+  /** Returns true if the request could not be sent to another head now, but may be soon. */
+  private boolean suspectAndResend(UpstreamLoad load, Exchange exchange, long nowNanos) {
     boolean isNew = !load.isSuspectedAt(nowNanos);
     load.suspect(true, nowNanos);
     if (isNew) {
@@ -148,7 +147,7 @@
           load.openCount(),
           "waitingTokens",
           load.waitingPromptTokens());
-      onSuspicion.accept(headId);
+      suspicionListener.accept(headId);
     }
     return exchange.onSilence(load);
   }
--- a/edge/src/main/java/org/shoreroad/edge/relay/UpstreamLoad.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/UpstreamLoad.java
@@ -7,58 +7,58 @@
 import org.shoreroad.fleet.ReplicaId;
 
 /**
- * What this process knows of the load and the health of one upstream; used on the event loop.
+ * Load and health of one upstream, as known to this process. Used on the event loop.
  *
  * @since 0.2
  */
 final class UpstreamLoad {
-  /** The weight of the newest outcome in the mean of failures: about the last eight count. */
+  /** Weight of the newest outcome in the mean of failures, which covers about eight outcomes. */
   private static final double FAILURE_WEIGHT = 0.12;
 
-  /** How long a suspected head is left alone before one request may try it again. */
+  /** Time for which a suspected head gets no requests; after that it may be tried again. */
   private static final long SUSPICION_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-  /** Five heartbeats: all peers have seen a formation by then. */
+  /** Time within which all peers have received a new replica: five heartbeats. */
   private static final long NEWLY_FORMED_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final Set<Exchange> open = new LinkedHashSet<>();
   private PaceMeter pace = new PaceMeter();
   private long waitingPromptTokens;
-  private int ownWriters;
-  private int openElsewhere;
-  private long waitingTokensElsewhere;
-  private long progressElsewhereNanos = Long.MIN_VALUE / 2;
+  private int ownDecodingCount;
+  private int peerOpenCount;
+  private long peerWaitingTokens;
+  private long peerProgressNanos = Long.MIN_VALUE / 2;
   private double failureMean;
   private long progressNanos = Long.MIN_VALUE / 2;
   private long openSinceNanos;
   private long suspectedNanos;
   private boolean isSuspected;
-  private boolean isSuspectedHere;
-  private long reformedNanos = Long.MIN_VALUE / 2;
+  private boolean hasOwnSuspicion;
+  private long replicaChangedNanos = Long.MIN_VALUE / 2;
   private long avoidedUntilNanos = Long.MIN_VALUE;
-  private @Nullable ReplicaId formation;
+  private @Nullable ReplicaId currentReplica;
 
-  /** Takes over the replica that this head belongs to; returns true if it is another one. */
-  boolean takeFormation(ReplicaId replica, long nowNanos) {
-    if (replica.equals(formation)) {
+  /** Sets the replica that this head belongs to; returns true if that changes it. */
+  boolean updateReplica(ReplicaId replica, long nowNanos) {
+    if (replica.equals(currentReplica)) {
       return false;
     }
-    if (formation != null) {
-      reformedNanos = nowNanos;
+    if (currentReplica != null) {
+      replicaChangedNanos = nowNanos;
     }
-    formation = replica;
+    currentReplica = replica;
     clearSuspicion();
     avoidedUntilNanos = Long.MIN_VALUE;
     return true;
   }
 
-  /** Forgets how the former incarnation served; requests that are open there end by themselves. */
+  /** Discards the history of the former incarnation; its open requests end by themselves. */
   void restart(long nowNanos) {
     pace = new PaceMeter();
     failureMean = 0;
-    formation = null;
+    currentReplica = null;
     // Peers may still suspect the former incarnation.
-    reformedNanos = nowNanos;
+    replicaChangedNanos = nowNanos;
     avoidedUntilNanos = Long.MIN_VALUE;
     clearSuspicion();
   }
@@ -71,32 +71,32 @@
     waitingPromptTokens += promptTokens;
   }
 
-  /** Takes a request off from which nothing has come yet. */
+  /** Removes a request that has had no event yet. */
   void removeWaiting(Exchange exchange, long promptTokens) {
     if (open.remove(exchange)) {
       waitingPromptTokens -= promptTokens;
     }
   }
 
-  /** Takes a request off whose prompt was read. */
+  /** Removes a request that has had an event, so that its prompt was read. */
   void removeDecoding(Exchange exchange) {
     if (open.remove(exchange)) {
-      ownWriters--;
+      ownDecodingCount--;
     }
   }
 
-  /** Notes that the first event of a request has come. */
+  /** Records the first event of a request, which shows that its prompt was read. */
   void recordPromptRead(long promptTokens) {
     waitingPromptTokens -= promptTokens;
-    ownWriters++;
+    ownDecodingCount++;
   }
 
-  /** Returns how slow its passes are against the engine's figures. */
+  /** Returns the meter of how slow the passes are compared with the engine's specification. */
   PaceMeter pace() {
     return pace;
   }
 
-  /** Notes that the upstream moved: an event, or an answer. */
+  /** Records progress of the upstream: an event, or an answer. */
   void recordProgress(long nowNanos) {
     progressNanos = nowNanos;
     clearSuspicion();
@@ -115,38 +115,38 @@
   }
 
   /**
-   * Notes a suspicion; one that is over by time begins anew.
+   * Records a suspicion. A suspicion that has expired starts again; a current one is not extended.
    *
-   * @param isOwn true if this process found the silence itself
+   * @param isOwn true if this process itself found the stall
    */
   void suspect(boolean isOwn, long nowNanos) {
     if (!isSuspectedAt(nowNanos)) {
       suspectedNanos = nowNanos;
     }
     isSuspected = true;
-    isSuspectedHere |= isOwn;
+    hasOwnSuspicion |= isOwn;
   }
 
   private void clearSuspicion() {
     isSuspected = false;
-    isSuspectedHere = false;
+    hasOwnSuspicion = false;
   }
 
-  /** Returns true if peers may not have seen yet that it heads another replica by now. */
+  /** Returns true if it heads another replica so recently that peers may not have received it. */
   boolean isNewlyFormedAt(long nowNanos) {
-    return nowNanos - reformedNanos < NEWLY_FORMED_NANOS;
+    return nowNanos - replicaChangedNanos < NEWLY_FORMED_NANOS;
   }
 
-  /** Returns true if this process itself found the silence for which it is suspected now. */
-  boolean isSuspectedHereAt(long nowNanos) {
-    return isSuspectedHere && isSuspectedAt(nowNanos);
+  /** Returns true if it is suspected now because this process itself found a stall. */
+  boolean hasOwnSuspicionAt(long nowNanos) {
+    return hasOwnSuspicion && isSuspectedAt(nowNanos);
   }
 
   boolean isSuspected() {
     return isSuspected;
   }
 
-  /** Returns true if it is suspected since a short time, so that it gets no request. */
+  /** Returns true if it is suspected and the suspicion has not expired, so it gets no requests. */
   boolean isSuspectedAt(long nowNanos) {
     return isSuspected && nowNanos - suspectedNanos < SUSPICION_NANOS;
   }
@@ -160,46 +160,49 @@
   }
 
   int openCount() {
-    return open.size() + openElsewhere;
+    return open.size() + peerOpenCount;
   }
 
   int ownOpenCount() {
     return open.size();
   }
 
-  /** Forgets what the other processes told, before their newest reports are added. */
-  void clearElsewhere() {
-    openElsewhere = 0;
-    waitingTokensElsewhere = 0;
+  /** Discards the loads of the other processes before their newest reports are added. */
+  void clearPeerLoads() {
+    peerOpenCount = 0;
+    peerWaitingTokens = 0;
   }
 
-  /** Adds what another process told. */
-  void addElsewhere(int openCount, long waitingTokens, long lastProgressNanos) {
-    openElsewhere += openCount;
-    waitingTokensElsewhere += waitingTokens;
-    progressElsewhereNanos = Math.max(progressElsewhereNanos, lastProgressNanos);
+  /** Adds the load that another process reported. */
+  void addPeerLoad(int openCount, long waitingTokens, long lastProgressNanos) {
+    peerOpenCount += openCount;
+    peerWaitingTokens += waitingTokens;
+    peerProgressNanos = Math.max(peerProgressNanos, lastProgressNanos);
     if (lastProgressNanos > suspectedNanos) {
       clearSuspicion();
     }
   }
 
-  /** Returns the tokens of prompts, over all processes, from which nothing has come yet. */
+  /** Returns the prompt tokens of all requests without an event yet, over all processes. */
   long waitingPromptTokens() {
-    return waitingPromptTokens + waitingTokensElsewhere;
+    return waitingPromptTokens + peerWaitingTokens;
   }
 
-  /** Returns true if a request of this process has had an event, and gets one with each pass. */
-  boolean hasOwnWriter() {
-    return ownWriters > 0;
+  /** Returns true if a request of this process is decoding, so that each pass sends it an event. */
+  boolean hasOwnDecoding() {
+    return ownDecodingCount > 0;
   }
 
   long ownWaitingPromptTokens() {
     return waitingPromptTokens;
   }
 
-  /** Returns since when the upstream, with something of this process open, gave nobody anything. */
+  /**
+   * Returns the start of the current silence on the steady clock: the later of the last progress at
+   * any process and the time since which this process has had requests open here.
+   */
   long silentSinceNanos() {
-    return Math.max(openSinceNanos, Math.max(progressNanos, progressElsewhereNanos));
+    return Math.max(openSinceNanos, Math.max(progressNanos, peerProgressNanos));
   }
 
   double failureMean() {
--- a/edge/src/main/java/org/shoreroad/edge/relay/UpstreamTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/UpstreamTable.java
@@ -21,7 +21,7 @@
 /**
  * Table of the upstreams that can take requests, with their loads over all processes.
  *
- * <p>Derived from the fleet again when that has changed. Used on the event loop.
+ * <p>Rebuilt from the fleet when that has changed. Used on the event loop.
  *
  * @since 0.2
  */
@@ -33,7 +33,7 @@
   private final Map<String, List<FleetBox>> openHeads = new HashMap<>();
   private final Map<String, List<FleetBox>> plainUpstreams = new HashMap<>();
   private final Set<ReplicaId> servingReplicas = new HashSet<>();
-  private long seenChanges = -1;
+  private long refreshedChanges = -1;
 
   /** Creates a table over the fleet. */
   public UpstreamTable(Fleet fleet, LongSupplier clockNanos, EventLog log) {
@@ -47,7 +47,7 @@
     return loads.computeIfAbsent(boxId, id -> new UpstreamLoad());
   }
 
-  /** Forgets how an upstream served: it is gone, or has started again. */
+  /** Discards the history of an upstream that is gone or has restarted. */
   public void forget(String id) {
     UpstreamLoad load = loads.get(id);
     if (load != null && load.open().isEmpty()) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Returns what this process has open at each upstream that has any. */
+  /** Returns the load of this process at each upstream where it has open requests. */
   public List<Heartbeat.Load> ownLoads() {
     long nowNanos = clockNanos.getAsLong();
     List<Heartbeat.Load> own = new ArrayList<>();
@@ -76,20 +76,26 @@
     return own;
   }
 
-  /** Takes over what all other processes have open, with when each told it. */
+  /**
+   * Replaces the loads of all other processes.
+   *
+   * @param newest the newest heartbeat of each other process, with the time on the steady clock at
+   *     which it was received
+   */
   public void setPeerLoads(Map<Heartbeat, Long> newest) {
-    loads.values().forEach(UpstreamLoad::clearElsewhere);
+    loads.values().forEach(UpstreamLoad::clearPeerLoads);
     newest.forEach(
-        (heartbeat, heardNanos) -> {
+        (heartbeat, receivedNanos) -> {
           for (Heartbeat.Load load : heartbeat.loads()) {
-            long progressNanos = heardNanos - TimeUnit.MILLISECONDS.toNanos(load.progressAgeMs());
+            long progressNanos =
+                receivedNanos - TimeUnit.MILLISECONDS.toNanos(load.progressAgeMs());
             loadOf(load.upstream())
-                .addElsewhere(load.open(), load.waitingPromptTokens(), progressNanos);
+                .addPeerLoad(load.open(), load.waitingPromptTokens(), progressNanos);
           }
         });
   }
 
-  /** Returns the upstreams that stand for the model, or for a plain service, in no order. */
+  /** Returns the upstreams of the model, or of a plain service, in no particular order. */
   List<FleetBox> candidates(UpstreamService service, @Nullable String model) {
     refresh();
     return service.engine() == null
@@ -97,17 +103,17 @@
         : openHeads.getOrDefault(service.name() + "/" + model, List.of());
   }
 
-  /** Returns a copy, since taking requests elsewhere changes what is open. */
+  /** Returns a copy, because moving requests to other upstreams changes the loads. */
   List<UpstreamLoad> loadsWithOwnRequests() {
     return loads.values().stream().filter(load -> load.ownOpenCount() > 0).toList();
   }
 
-  /** Derives what stands from the fleet, if that has changed. */
+  /** Rebuilds the lists of upstreams if the fleet has changed. */
   private void refresh() {
-    if (fleet.targetChanges() == seenChanges) {
+    if (fleet.targetChanges() == refreshedChanges) {
       return;
     }
-    seenChanges = fleet.targetChanges();
+    refreshedChanges = fleet.targetChanges();
     openHeads.clear();
     plainUpstreams.clear();
     servingReplicas.clear();
@@ -121,25 +127,25 @@
         openHeads
             .computeIfAbsent(box.service() + "/" + box.model(), name -> new ArrayList<>())
             .add(box);
-        noteFormation(box);
+        recordReplica(box);
         servingReplicas.add(box.membership().replica());
       }
     }
     loads.keySet().removeIf(id -> fleet.find(id) == null && loads.get(id).open().isEmpty());
   }
 
-  private long countSoundMembers(ReplicaId replica) {
+  private long countListedMembers(ReplicaId replica) {
     return fleet.boxes().stream()
         .filter(box -> box.membership() != null && box.membership().replica().equals(replica))
         .filter(box -> fleet.isListed(box.id()))
         .count();
   }
 
-  private void noteFormation(FleetBox head) {
+  private void recordReplica(FleetBox head) {
     Membership membership = head.membership();
     UpstreamLoad load = loadOf(head.id());
-    // A new formation at the same head starts without the old one's suspicion.
-    if (membership != null && load.takeFormation(membership.replica(), clockNanos.getAsLong())) {
+    // A new replica with the same head starts without the suspicion of the former one.
+    if (membership != null && load.updateReplica(membership.replica(), clockNanos.getAsLong())) {
       log.write(
           "replica_open",
           "replica",
@@ -147,7 +153,7 @@
           "head",
           head.id(),
           "members",
-          countSoundMembers(membership.replica()));
+          countListedMembers(membership.replica()));
     }
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/relay/DemandMeterTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/DemandMeterTest.java
@@ -11,16 +11,16 @@
   private final DemandMeter demand = new DemandMeter(table);
 
   @Test
-  void pressureIsWhatIsOpenForEachPlace() {
+  void pressureIsTheNumberOfOpenRequestsPerSlot() {
     list("a", "OPEN");
     list("b", "OPEN");
-    tellElsewhere("a", 2, 0, 0);
+    setPeerLoad("a", 2, 0, 0);
     assertThat(demand.demand(LLM).pressure("m"), is(closeTo(0.25, 1e-9)));
     assertThat(demand.demand(LLM).hasTraffic(), is(true));
   }
 
   @Test
-  void aModelWithoutReplicaIsPressedBeyondMeasure() {
+  void aModelWithoutReplicaHasMorePressureThanAnyOther() {
     assertThat(demand.demand(LLM).pressure("m"), is(greaterThan(100.0)));
     assertThat(demand.demand(LLM).hasTraffic(), is(false));
   }
--- a/edge/src/test/java/org/shoreroad/edge/relay/PaceMeterTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/PaceMeterTest.java
@@ -13,7 +13,7 @@
   private final PaceMeter meter = new PaceMeter();
   private long nowNanos = TimeUnit.HOURS.toNanos(1);
 
-  private void passes(int count, long pauseMs) {
+  private void recordPasses(int count, long pauseMs) {
     for (int i = 0; i < count; i++) {
       long pauseNanos = TimeUnit.MILLISECONDS.toNanos(pauseMs);
       nowNanos += pauseNanos;
@@ -22,31 +22,31 @@
   }
 
   @Test
-  void anEngineIsAsQuickAsItsFiguresUntilSeenOtherwise() {
+  void anEngineCountsAsSpecifiedUntilMeasuredSlower() {
     assertThat(meter.slowness(nowNanos), is(1.0));
-    passes(30, 160);
+    recordPasses(30, 160);
     assertThat(meter.slowness(nowNanos), is(closeTo(4, 0.1)));
   }
 
   @Test
-  void eventsOfOnePassAreNoPasses() {
-    passes(30, 160);
-    passes(30, 1);
+  void eventsOfOnePassAreNotCountedAsPasses() {
+    recordPasses(30, 160);
+    recordPasses(30, 1);
     assertThat(meter.slowness(nowNanos), is(closeTo(4, 0.1)));
   }
 
   @Test
-  void whatWasSeenLongAgoDoesNotCount() {
-    passes(30, 160);
+  void oldMeasurementsDoNotCount() {
+    recordPasses(30, 160);
     nowNanos += TimeUnit.SECONDS.toNanos(4);
     assertThat(meter.slowness(nowNanos), is(1.0));
   }
 
   @Test
-  void oneStandstillDoesNotMakeAnEngineSlow() {
-    passes(1, 3_000);
+  void oneStallDoesNotMakeAnEngineSlow() {
+    recordPasses(1, 3_000);
     assertThat(meter.slowness(nowNanos), is(closeTo(2.8, 0.1)));
-    passes(10, 40);
+    recordPasses(10, 40);
     assertThat(meter.slowness(nowNanos), is(closeTo(1.2, 0.1)));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/StallDetectorTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/StallDetectorTest.java
@@ -10,7 +10,7 @@
 
 class StallDetectorTest extends UpstreamFixture {
   @Test
-  void aPeersSuspicionCountsUntilTheHeadBelongsToAnotherReplica() {
+  void aHeadSuspectedByAPeerIsNotChosenUntilTheSuspicionExpires() {
     list("a", "OPEN");
     assertThat(choose(Set.of()), is("a"));
     stalls.suspectByPeer(Set.of("a"));
@@ -21,22 +21,22 @@
   }
 
   @Test
-  void withoutOpenRequestsThereIsNoNextLookForSilentHeads() {
+  void withoutOpenRequestsNoFurtherCheckIsScheduled() {
     assertThat(stalls.findStalled(), is(Long.MAX_VALUE));
   }
 
   @Test
-  void aReportOnTheFormerReplicaDoesNotHoldForANewlyFormedOne() {
+  void aReportOnTheFormerReplicaDoesNotApplyToANewlyFormedOne() {
     UpstreamLoad load = table.loadOf("a");
-    load.takeFormation(new ReplicaId("r", 1), nowNanos);
-    load.takeFormation(new ReplicaId("r", 2), nowNanos);
+    load.updateReplica(new ReplicaId("r", 1), nowNanos);
+    load.updateReplica(new ReplicaId("r", 2), nowNanos);
     assertThat(stalls.suspectByPeer(Set.of("a")), is(false));
     nowNanos += TimeUnit.MILLISECONDS.toNanos(1_001);
     assertThat(stalls.suspectByPeer(Set.of("a")), is(true));
   }
 
   @Test
-  void aPeersSuspicionIsNotReportedAsItsOwn() {
+  void aSuspicionOfAPeerIsNotReportedAsOwn() {
     list("a", "OPEN");
     assertThat(stalls.suspectByPeer(Set.of("a")), is(true));
     assertThat(stalls.suspectedIds(), is(Set.of("a")));
@@ -44,10 +44,11 @@
   }
 
   /**
-   * A head that serves again gives each of two processes an event by turns, and heartbeats go on.
+   * Two processes must not keep up a suspicion by repeating each other's reports in heartbeats. The
+   * head has recovered and sends them events alternately.
    */
   @Test
-  void aSuspicionOfAHeadThatServesAgainDoesNotGoRound() {
+  void aSuspicionOfARecoveredHeadDoesNotCirculate() {
     list("a", "OPEN");
     UpstreamTable tableOfOne = otherTable();
     UpstreamTable tableOfTwo = otherTable();
--- a/edge/src/test/java/org/shoreroad/edge/relay/SilenceLimitTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/StallTimeoutTest.java
@@ -11,7 +11,7 @@
 import org.shoreroad.fleet.EngineSpec;
 import org.shoreroad.fleet.ModelShape;
 
-class SilenceLimitTest {
+class StallTimeoutTest {
   private static final ModelShape MODEL = new ModelShape("m", 4, 1, 1, 16, 1.6);
   private static final EngineSpec ENGINE =
       new EngineSpec(18, 969_230, 6, 0.25, 0, 46_000, 2_048, 5, 4, 6, 200, List.of(MODEL));
@@ -20,43 +20,43 @@
 
   private final UpstreamLoad load = new UpstreamLoad();
 
-  private long limitMs() {
+  private long timeoutMs() {
     return TimeUnit.NANOSECONDS.toMillis(
-        SilenceLimit.nanos(new ModelEngine(ENGINE, MODEL), load, NOW_NANOS));
+        StallTimeout.nanos(new ModelEngine(ENGINE, MODEL), load, NOW_NANOS));
   }
 
   @Test
-  void whoHearsEachPassWaitsForOnePassAndAQuarterAndTheSlack() {
-    load.addElsewhere(8, 0, 0);
+  void withAnOwnDecodingRequestTheTimeoutIsAPassAndAQuarterAndASmallSlack() {
+    load.addPeerLoad(8, 0, 0);
     load.recordPromptRead(0);
-    // Five steps of 8 ms, a quarter more, and 90 ms.
-    assertThat(limitMs(), is(140L));
+    // Five steps of 8 ms, plus a quarter of that, plus 90 ms.
+    assertThat(timeoutMs(), is(140L));
   }
 
   @Test
-  void whoHearsOnlyOfOthersWaitsForTheirHeartbeats() {
-    load.addElsewhere(8, 0, 0);
-    assertThat(limitMs(), is(300L));
+  void withoutAnOwnDecodingRequestTheTimeoutCoversTheHeartbeatInterval() {
+    load.addPeerLoad(8, 0, 0);
+    assertThat(timeoutMs(), is(300L));
   }
 
   @Test
-  void aHeadThatIsKnownToBeSlowIsWaitedForLonger() {
-    load.addElsewhere(8, 0, 0);
+  void aSlowHeadHasALongerTimeout() {
+    load.addPeerLoad(8, 0, 0);
     load.recordPromptRead(0);
-    long usualMs = limitMs();
+    long usualMs = timeoutMs();
     for (int i = 0; i < 30; i++) {
       load.pace().record(TimeUnit.MILLISECONDS.toNanos(120), 40, NOW_NANOS);
     }
-    assertThat(limitMs(), is(greaterThan(usualMs + 80)));
+    assertThat(timeoutMs(), is(greaterThan(usualMs + 80)));
   }
 
   @Test
-  void promptsThatWaitMakeAPassLongerUpToWhatItReads() {
+  void waitingPromptsLengthenTheTimeoutUpToTheTokensReadInOnePass() {
     load.recordPromptRead(0);
-    long idleMs = limitMs();
-    load.addElsewhere(1, 4_600, 0);
-    assertThat(limitMs(), is(greaterThan(idleMs + 100)));
-    load.addElsewhere(1, 1_000_000, 0);
-    assertThat(limitMs(), is(lessThan(idleMs + 300)));
+    long idleMs = timeoutMs();
+    load.addPeerLoad(1, 4_600, 0);
+    assertThat(timeoutMs(), is(greaterThan(idleMs + 100)));
+    load.addPeerLoad(1, 1_000_000, 0);
+    assertThat(timeoutMs(), is(lessThan(idleMs + 300)));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/UpstreamFixture.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/UpstreamFixture.java
@@ -23,7 +23,7 @@
 import org.shoreroad.fleet.ReplicaId;
 import org.shoreroad.traffic.UpstreamService;
 
-/** A fleet that tests fill, with the table, the selector and the detector over it. */
+/** Fixture with a fleet and the table, the selector and the stall detector that use it. */
 abstract class UpstreamFixture {
   static final int SLOTS = 4;
   static final int TARGET_MS = 500;
@@ -55,7 +55,7 @@
       new UpstreamSelector(table, backpressure, () -> nowNanos, new SplittableRandom(3), "z");
   final StallDetector stalls = new StallDetector(table, () -> nowNanos, log);
 
-  /** Reads "web", "leaving" or the state of a head. */
+  /** Decodes "web" (a plain upstream), "leaving" (a leaving head) or the state of a head. */
   private static FleetBox decode(String id, byte[] entry) {
     String text = new String(entry, StandardCharsets.UTF_8);
     boolean isLeaving = text.equals("leaving");
@@ -85,7 +85,7 @@
     return selector.choose(LLM, "m", tried, TARGET_MS).map(t -> t.box().id()).orElse(null);
   }
 
-  final void tellElsewhere(String id, int open, long waitingTokens, int ageMs) {
+  final void setPeerLoad(String id, int open, long waitingTokens, int ageMs) {
     Heartbeat.Load load = new Heartbeat.Load(id, open, waitingTokens, ageMs);
     table.setPeerLoads(Map.of(heartbeatWith(List.of(load)), nowNanos));
   }
--- a/edge/src/test/java/org/shoreroad/edge/relay/UpstreamLoadTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/UpstreamLoadTest.java
@@ -16,20 +16,20 @@
   }
 
   @Test
-  void aHeadThatIsSilentAgainAfterItsSuspicionIsSuspectedAgain() {
+  void aHeadCanBeSuspectedAgainAfterASuspicionExpired() {
     load.suspect(true, START_NANOS);
     assertThat(load.isSuspectedAt(after(3)), is(true));
     assertThat(load.isSuspectedAt(after(5)), is(false));
     load.suspect(true, after(5));
     assertThat(load.isSuspectedAt(after(8)), is(true));
-    assertThat(load.isSuspectedHereAt(after(8)), is(true));
+    assertThat(load.hasOwnSuspicionAt(after(8)), is(true));
   }
 
   @Test
-  void aSuspicionThatIsNotOverIsNotProlonged() {
+  void aCurrentSuspicionIsNotExtended() {
     load.suspect(false, START_NANOS);
     load.suspect(true, after(3));
-    assertThat(load.isSuspectedHereAt(after(3)), is(true));
+    assertThat(load.hasOwnSuspicionAt(after(3)), is(true));
     assertThat(load.isSuspectedAt(after(5)), is(false));
   }
 
@@ -38,6 +38,6 @@
     load.suspect(true, START_NANOS);
     load.recordProgress(after(1));
     assertThat(load.isSuspectedAt(after(1)), is(false));
-    assertThat(load.isSuspectedHereAt(after(1)), is(false));
+    assertThat(load.hasOwnSuspicionAt(after(1)), is(false));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/UpstreamSelectorTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/UpstreamSelectorTest.java
@@ -17,7 +17,7 @@
 
 class UpstreamSelectorTest extends UpstreamFixture {
   @Test
-  void onlyOpenHeadsThatStayAreChosen() {
+  void onlyOpenHeadsThatAreNotLeavingAreChosen() {
     list("ready", "READY");
     list("closing", "CLOSING");
     list("leaving", "leaving");
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void whatIsOffTheListIsNotChosen() {
+  void anUpstreamThatIsNoLongerListedIsNotChosen() {
     list("a", "OPEN");
     list("a", null);
     fleet.settle(TimeUnit.MINUTES.toNanos(1));
@@ -39,49 +39,49 @@
   void theLoadOfOtherProcessesCounts() {
     list("a", "OPEN");
     list("b", "OPEN");
-    tellElsewhere("a", 3, 0, 0);
+    setPeerLoad("a", 3, 0, 0);
     for (int i = 0; i < 20; i++) {
       assertThat(choose(Set.of()), is("b"));
     }
   }
 
   @Test
-  void manyProcessesThatChooseOnOldReportsDoNotAllChooseTheSameHead() {
+  void manyProcessesWithOldReportsDoNotAllChooseTheSameHead() {
     int heads = 20;
-    List<Heartbeat.Load> told = new ArrayList<>();
+    List<Heartbeat.Load> loads = new ArrayList<>();
     for (int i = 0; i < heads; i++) {
       list("h" + i, "OPEN");
-      told.add(new Heartbeat.Load("h" + i, i == 0 ? 0 : 1, 0, 0));
+      loads.add(new Heartbeat.Load("h" + i, i == 0 ? 0 : 1, 0, 0));
     }
-    table.setPeerLoads(Map.of(heartbeatWith(told), nowNanos));
+    table.setPeerLoads(Map.of(heartbeatWith(loads), nowNanos));
     selector.setProcessCount(80);
     int choices = 400;
     int idle = 0;
     for (int i = 0; i < choices; i++) {
       idle += "h0".equals(choose(Set.of())) ? 1 : 0;
     }
-    // By chance each head would get a twentieth; the idle one is preferred, but not by all.
+    // A uniform choice gives each head a twentieth. The idle one gets more, but not most requests.
     assertThat(idle, is(both(greaterThan(choices / heads)).and(lessThan(choices / 4))));
   }
 
   @Test
-  void aFullHeadGetsNothing() {
+  void aFullHeadIsNotChosen() {
     list("a", "OPEN");
-    tellElsewhere("a", SLOTS, 0, 0);
+    setPeerLoad("a", SLOTS, 0, 0);
     assertThat(choose(Set.of()) == null, is(true));
-    tellElsewhere("a", SLOTS - 1, 0, 0);
+    setPeerLoad("a", SLOTS - 1, 0, 0);
     assertThat(choose(Set.of()), is("a"));
   }
 
   @Test
-  void aHeadWhosePromptsTakeTooLongToReadGetsNothing() {
+  void aHeadWithTooLongAPromptBacklogIsNotChosen() {
     list("a", "OPEN");
-    tellElsewhere("a", 1, 14_000, 0);
+    setPeerLoad("a", 1, 14_000, 0);
     assertThat(choose(Set.of()) == null, is(true));
   }
 
   @Test
-  void aFailingHeadIsPassedOver() {
+  void aHealthyHeadIsPreferredToAFailingOne() {
     list("a", "OPEN");
     list("b", "OPEN");
     for (int i = 0; i < 5; i++) {
@@ -95,10 +95,10 @@
   }
 
   @Test
-  void aSlowHeadIsPassedOver() {
+  void aFastHeadIsPreferredToASlowOne() {
     list("a", "OPEN");
     list("b", "OPEN");
-    tellElsewhere("b", 1, 0, 0);
+    setPeerLoad("b", 1, 0, 0);
     for (int i = 0; i < 20; i++) {
       table.loadOf("a").pace().record(TimeUnit.MILLISECONDS.toNanos(160), 40, nowNanos);
     }
