--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -432,7 +432,7 @@
     }
     heartbeat.reports().forEach(fleet::updateByPeer);
     quarantine.learn(heartbeat.crashReports());
-    if (backpressure.learn(heartbeat.limitReports())) {
+    if (backpressure.applyReports(heartbeat.limitReports())) {
       mesh.hurryAsHub();
     }
     learnSuspicions(heartbeat.suspectedUpstreams());
--- a/edge/src/main/java/org/shoreroad/edge/relay/Backpressure.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Backpressure.java
@@ -88,7 +88,7 @@
    * Applies the reports of another process; returns true if one sets a limit on an unlimited
    * upstream.
    */
-  public boolean learn(Collection<LimitReport> reports) {
+  public boolean applyReports(Collection<LimitReport> reports) {
     boolean hasBegun = false;
     for (LimitReport report : reports) {
       LimitChange change = limits.learn(report, clockNanos.getAsLong());
--- a/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
@@ -71,7 +71,7 @@
     share(SELF);
     FakeUpstream limited = upstream("i-1", naming("1000"));
     LimitReport report = new LimitReport(new Incarnation("i-1", 0), new RequestLimit(0), 0);
-    loop.submit(() -> backpressure.learn(List.of(report))).sync();
+    loop.submit(() -> backpressure.applyReports(List.of(report))).sync();
     assertThat(call("/again/x"), startsWith("HTTP/1.1 503"));
     assertThat(limited.heads().size(), is(0));
   }
