--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -180,7 +180,7 @@
     this.summary = new FleetSummary(fleet, upstreams, log);
     this.quarantine = new RequestQuarantine(clockNanos, log, metrics);
     this.quarantineRegistry =
-        new QuarantineRegistry(store, loop, timeOfDayMs, log, quarantine::learn);
+        new QuarantineRegistry(store, loop, timeOfDayMs, log, quarantine::applyReports);
     this.relay = makeRelay(loop, calls);
     this.lag = new LoopLag(log, UPKEEP_MS);
     this.failureDetector = new FailureDetector(clockNanos);
@@ -431,7 +431,7 @@
       listFollower.takeOver(told, heartbeat.echoNanos() - told.ageNanos());
     }
     heartbeat.reports().forEach(fleet::updateByPeer);
-    quarantine.learn(heartbeat.crashReports());
+    quarantine.applyReports(heartbeat.crashReports());
     if (backpressure.applyReports(heartbeat.limitReports())) {
       mesh.hurryAsHub();
     }
--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestQuarantine.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestQuarantine.java
@@ -62,7 +62,7 @@
   }
 
   /** Applies the reports of another process. */
-  public void learn(Collection<CrashReport> reports) {
+  public void applyReports(Collection<CrashReport> reports) {
     if (reports.isEmpty()) {
       return;
     }
--- a/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
@@ -129,7 +129,7 @@
     Crash peerCrash = new Crash(new Incarnation("i-elsewhere", 1), true);
     CrashReport report =
         new CrashReport(own.fingerprint(), List.of(peerCrash), Set.of(), own.idleMs());
-    loop.submit(() -> quarantine.learn(List.of(report))).sync();
+    loop.submit(() -> quarantine.applyReports(List.of(report))).sync();
     assertThat(call(path), startsWith("HTTP/1.1 503"));
     assertThat(countArrivals(path), is(2L));
   }
@@ -167,7 +167,7 @@
       crashes.add(new Crash(new Incarnation("j-" + i, 1), true));
     }
     CrashReport report = new CrashReport(same, crashes, Set.of(), 0);
-    loop.submit(() -> quarantine.learn(List.of(report))).sync();
+    loop.submit(() -> quarantine.applyReports(List.of(report))).sync();
     assertThat(answer.get(), startsWith("HTTP/1.1 502"));
     assertThat(closed.await(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS), is(true));
     assertThat(upstream.heads().size(), is(1));
