--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -239,14 +239,14 @@
   private void notePromptRead() {
     if (!isPromptRead) {
       isPromptRead = true;
-      target.load().promptRead(exchange.promptTokens());
+      target.load().recordPromptRead(exchange.promptTokens());
     }
   }
 
   private void end() {
     isOver = true;
     if (isPromptRead) {
-      target.load().removeWriter(exchange);
+      target.load().removeDecoding(exchange);
     } else {
       target.load().removeWaiting(exchange, exchange.promptTokens());
     }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -94,7 +94,7 @@
     long holdMs = Math.min(reader.deadlineMs(), found.timeoutMs());
     endNanos = request.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(holdMs);
     waitUntilNanos = request.arrivedNanos() + waitNanos();
-    sends.allow(found.maxAttempts());
+    sends.setMaxAttempts(found.maxAttempts());
     if (relay.quarantine().recordArrival(this::fingerprint)) {
       refuse(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
       return;
@@ -163,7 +163,7 @@
       refuseOrFail(Refusal.HELD_BACK, RetryAfter.PLACE);
       return;
     }
-    boolean isStanding = targets.isAnyStanding();
+    boolean isStanding = targets.hasAny();
     refuseOrFail(
         isStanding ? Refusal.NO_PLACE : Refusal.NO_REPLICA,
         isStanding ? RetryAfter.PLACE : RetryAfter.REPLICA);
@@ -288,7 +288,7 @@
     boolean isAllowed = of != null && (end == AttemptEnd.REFUSED || of.isRepeatable());
     // With an earlier upstream still at work, a repeat is worth it only where it can be sent.
     return isAllowed
-        && sends.hasLeft()
+        && sends.hasAttemptsLeft()
         && !isQuarantined()
         && (attempts.isEmpty() || targets.isAnyFree())
         && takeRepeat();
@@ -342,7 +342,7 @@
     if (attempts.isAnySent()) {
       sends.recordMayHaveRun();
     }
-    attempts.cancelUnbegun();
+    attempts.cancelUnanswered();
     refuseOrFail(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
   }
 
@@ -439,7 +439,7 @@
   }
 
   private boolean canRepeat() {
-    return route != null && route.isRepeatable() && sends.hasLeft();
+    return route != null && route.isRepeatable() && sends.hasAttemptsLeft();
   }
 
   /** Returns the engines of its service as they run its model, or null if there are none. */
