--- a/core/src/main/java/org/shoreroad/routing/AttemptBudget.java
+++ b/core/src/main/java/org/shoreroad/routing/AttemptBudget.java
@@ -3,19 +3,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * This process's share of the repeats that all processes together may send to one service.
+ * Limit of the repeats that this process may send to one service.
  *
- * <p>Over a sliding window, repeats may be a ratio of the first attempts and a fixed slack, which
- * is divided among the processes believed alive. A process that is cut off keeps the share it had.
- * Used by one thread.
+ * <p>A repeat is an attempt after a request's first one. Within a sliding window, all processes
+ * together may send a ratio of their first attempts plus a fixed slack, which is divided evenly
+ * among the processes considered alive. A process without contact keeps the share it had. Not
+ * thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 public final class AttemptBudget {
   private static final int BUCKETS = 10;
 
-  /** The part of the allowance that is used: the processes' windows don't begin together. */
-  private static final double USED_PART = 0.7;
+  /** Used share of the allowance: the windows of the processes don't begin at the same time. */
+  private static final double USED_SHARE = 0.7;
 
   private final double ratio;
   private final double slack;
@@ -27,8 +28,8 @@
   /**
    * Creates a budget.
    *
-   * @param ratio the repeats allowed for each first attempt, 0 or more
-   * @param slack the repeats allowed beside, over all processes, in one window
+   * @param ratio the repeats allowed per first attempt, 0 or more
+   * @param slack the additional repeats allowed in one window, for all processes together
    * @param windowSeconds the length of the window, in seconds, positive
    */
   public AttemptBudget(double ratio, double slack, int windowSeconds) {
@@ -37,17 +38,17 @@
     this.bucketNanos = TimeUnit.SECONDS.toNanos(windowSeconds) / BUCKETS;
   }
 
-  /** Notes a first attempt. */
+  /** Counts a first attempt. */
   public void recordFirst(long nowNanos) {
     firsts[bucket(nowNanos)]++;
   }
 
   /**
-   * Takes one repeat out of the budget.
+   * Takes one repeat from the budget, if there is one.
    *
-   * @param nowNanos the steady clock
-   * @param processes the processes believed alive, this one among them, at least 1
-   * @return true if the budget had one
+   * @param nowNanos the monotonic time
+   * @param processes the number of processes considered alive, including this one, at least 1
+   * @return true if the repeat is allowed
    */
   public boolean tryRepeat(long nowNanos, int processes) {
     int current = bucket(nowNanos);
@@ -59,7 +60,7 @@
         repeatSum += repeats[i];
       }
     }
-    if (repeatSum + 1 > USED_PART * (ratio * firstSum + slack / processes)) {
+    if (repeatSum + 1 > USED_SHARE * (ratio * firstSum + slack / processes)) {
       return false;
     }
     repeats[current]++;
--- a/core/src/main/java/org/shoreroad/routing/OwnerMap.java
+++ b/core/src/main/java/org/shoreroad/routing/OwnerMap.java
@@ -10,10 +10,10 @@
 import org.shoreroad.state.Node;
 
 /**
- * Which process owns which generation.
+ * Assignment of generations to the processes that own them.
  *
- * <p>A generation goes to a live process of its own availability zone, or of any if its zone has
- * none, by rendezvous hashing with a bounded load: no process owns more than a quarter above the
+ * <p>A generation is assigned to a live process of its own availability zone, or of any zone if its
+ * own has none, by rendezvous hashing with bounded loads: no process owns more than 1.25 times the
  * mean of its zone, rounded up.
  *
  * <p>This class is immutable and thread-safe.
@@ -21,7 +21,7 @@
  * @since 0.1
  */
 public final class OwnerMap {
-  /** The map without any owner. */
+  /** Map without owners. */
   public static final OwnerMap EMPTY = new OwnerMap(Map.of());
 
   private static final double LOAD_BOUND = 1.25;
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Returns the map for these generations and processes.
+   * Creates the map for the given generations and processes.
    *
    * @param generations the generations, not null
    * @param alive the live processes, not null
@@ -57,7 +57,7 @@
     return new OwnerMap(owners);
   }
 
-  /** Returns the owner of the generation, if it is known and any process lives. */
+  /** Returns the owner of the generation, or empty if it has none. */
   public Optional<Node> owner(long generation) {
     return Optional.ofNullable(ownerByGeneration.get(generation));
   }
--- a/core/src/main/java/org/shoreroad/routing/Rendezvous.java
+++ b/core/src/main/java/org/shoreroad/routing/Rendezvous.java
@@ -11,8 +11,10 @@
 import java.util.stream.Stream;
 
 /**
- * Rendezvous hashing: every process that knows the same names ranks them alike for a key, and a
- * name that comes or goes moves only the keys it wins.
+ * Rendezvous hashing (highest random weight).
+ *
+ * <p>Every process with the same set of names computes the same ranking for a key. Adding or
+ * removing a name moves only the keys for which it has the highest score.
  *
  * <p>All methods are pure and thread-safe.
  *
@@ -23,7 +25,7 @@
 
   private Rendezvous() {}
 
-  /** Returns the score of a name for a key; the highest wins. */
+  /** Returns the score of a name for a key. */
   public static long score(String key, String name) {
     return HASH.newHasher()
         .putString(key, StandardCharsets.UTF_8)
@@ -34,19 +36,19 @@
   }
 
   /**
-   * Returns the candidate that wins the key.
+   * Returns the candidate with the highest score for the key.
    *
    * @param key the key, not null
    * @param candidates the candidates, not null
-   * @param name gives a candidate's name
-   * @return the winner, or empty if there is no candidate
+   * @param name the function from a candidate to its name
+   * @return the candidate, or empty if there is no candidate
    */
   public static <T> Optional<T> choose(
       String key, Collection<T> candidates, Function<T, String> name) {
     return scoreAll(key, candidates, name).max(Scored.ORDER).map(Scored::candidate);
   }
 
-  /** Returns the candidates, the one that wins the key first. */
+  /** Returns the candidates by descending score for the key. */
   public static <T> List<T> rank(String key, Collection<T> candidates, Function<T, String> name) {
     return scoreAll(key, candidates, name)
         .sorted(Scored.ORDER.reversed())
@@ -55,11 +57,11 @@
   }
 
   /**
-   * Returns the place of a name among all that compete for the key, 0 for the winner.
+   * Returns the zero-based position of a name in the ranking for the key.
    *
    * @param name the name, not null
    * @param key the key, not null
-   * @param names all names, not null; it does not matter whether the name is among them
+   * @param names the ranked names, not null; they may or may not include the name itself
    */
   public static int placeOf(String name, String key, Collection<String> names) {
     Scored<String> own = new Scored<>(name, name, score(key, name));
@@ -69,7 +71,7 @@
             .count();
   }
 
-  /** Scores each candidate once; comparing would score it again and again. */
+  /** Computes each score once; a comparator would compute it for each comparison. */
   private static <T> Stream<Scored<T>> scoreAll(
       String key, Collection<T> candidates, Function<T, String> name) {
     return candidates.stream().map(c -> new Scored<>(c, name.apply(c), score(key, name.apply(c))));
--- a/core/src/main/java/org/shoreroad/routing/RetryBudget.java
+++ b/core/src/main/java/org/shoreroad/routing/RetryBudget.java
@@ -3,12 +3,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Retries as a share of the work: each first attempt earns a tenth of a retry.
+ * Token bucket that limits retries: each first attempt earns a tenth of a retry.
  *
- * <p>So a fault that touches every request can't add more than a tenth to the load, whatever each
- * single request would like. A small stock lets a quiet client account retry at all.
+ * <p>A fault that affects every request therefore adds at most a tenth to the load, whatever the
+ * retry policy of a single request. Three retries are available at the start, so that a client
+ * account with few requests can retry too.
  *
- * <p>Thread-safe and without locks.
+ * <p>This class is thread-safe and lock-free.
  *
  * @since 0.1
  */
@@ -20,19 +21,21 @@
 
   private final AtomicLong units = new AtomicLong(START_UNITS);
 
-  /** Notes a first attempt. */
+  /** Adds the units that a first attempt earns. */
   public void recordAttempt() {
-    units.accumulateAndGet(UNITS_PER_ATTEMPT, (have, more) -> Math.min(MAX_UNITS, have + more));
+    units.accumulateAndGet(
+        UNITS_PER_ATTEMPT, (available, earned) -> Math.min(MAX_UNITS, available + earned));
   }
 
   /**
-   * Takes one retry out of the budget.
+   * Takes one retry from the budget, if there is one.
    *
-   * @return true if the budget had one
+   * @return true if the retry is allowed
    */
   public boolean tryRetry() {
     long before =
-        units.getAndUpdate(have -> have >= UNITS_PER_RETRY ? have - UNITS_PER_RETRY : have);
+        units.getAndUpdate(
+            available -> available >= UNITS_PER_RETRY ? available - UNITS_PER_RETRY : available);
     return before >= UNITS_PER_RETRY;
   }
 }
--- a/core/src/main/java/org/shoreroad/routing/UpstreamChooser.java
+++ b/core/src/main/java/org/shoreroad/routing/UpstreamChooser.java
@@ -9,10 +9,11 @@
 /**
  * Chooses the upstream for a request.
  *
- * <p>Load counts first: own open requests, corrected by what the upstream last reported. An
- * upstream that has failed lately, or answers several times slower than the median, is passed over,
- * but never all of them. Among what is left, the one that rendezvous hashing gives for the prompt's
- * prefix is taken, unless its load is above the bound; then the least loaded is.
+ * <p>An upstream that failed recently, or whose latency is several times the median, is excluded,
+ * unless this would exclude all. Of the others, the upstream that rendezvous hashing selects for
+ * the prompt's prefix is chosen if its load is within a bound, otherwise the least loaded one. The
+ * load is the number of this process's own open requests plus the last load that the upstream
+ * reported.
  *
  * <p>All methods are pure and thread-safe.
  *
@@ -30,7 +31,7 @@
    * Chooses an upstream.
    *
    * @param candidates the names of the upstreams, not null
-   * @param stats what is known of each; one that is missing counts as unknown
+   * @param stats the stats by upstream name; an upstream without an entry counts as new
    * @param prefixKey the hash key of the prompt's prefix, or an empty text for none
    * @param nowNanos the monotonic time
    * @return the upstream, or empty only if there is no candidate
@@ -43,22 +44,22 @@
     if (candidates.isEmpty()) {
       return Optional.empty();
     }
-    UpstreamStats unknown = UpstreamStats.of(nowNanos);
+    UpstreamStats noStats = UpstreamStats.of(nowNanos);
     List<Candidate> all =
         candidates.stream()
-            .map(name -> new Candidate(name, stats.getOrDefault(name, unknown)))
+            .map(name -> new Candidate(name, stats.getOrDefault(name, noStats)))
             .toList();
     List<Candidate> usable = findUsable(all, nowNanos);
-    // The prefix's own upstream, while its load is near the mean.
+    // Prefix affinity, while the load of that upstream is near the mean.
     if (!prefixKey.isEmpty()) {
-      Optional<Candidate> home = Rendezvous.choose(prefixKey, usable, Candidate::name);
+      Optional<Candidate> preferred = Rendezvous.choose(prefixKey, usable, Candidate::name);
       double mean = usable.stream().mapToLong(Candidate::load).average().orElse(0);
       double bound = mean * AFFINITY_LOAD_BOUND + AFFINITY_LOAD_SLACK;
-      if (home.isPresent() && home.get().load() <= bound) {
-        return home.map(Candidate::name);
+      if (preferred.isPresent() && preferred.get().load() <= bound) {
+        return preferred.map(Candidate::name);
       }
     }
-    // Else the least loaded; of equals, the faster.
+    // Otherwise the least loaded upstream; ties go to the lower latency.
     return usable.stream().min(Candidate.BY_LOAD).map(Candidate::name);
   }
 
@@ -86,18 +87,18 @@
     return notAvoided.isEmpty() ? candidates : notAvoided;
   }
 
-  /** A slow upstream is still tried with one request at a time, or it could never return. */
+  /** A slow upstream still gets one request at a time, to measure whether it has recovered. */
   private static boolean isFastEnough(UpstreamStats stats, double limitMs) {
     return stats.latencyMs() <= limitMs || stats.inFlight() == 0;
   }
 
   private static double medianLatencyMs(List<Candidate> candidates) {
-    double[] known =
+    double[] latencies =
         candidates.stream()
             .mapToDouble(c -> c.stats().latencyMs())
             .filter(ms -> ms > 0)
             .sorted()
             .toArray();
-    return known.length == 0 ? 0 : known[(known.length - 1) / 2];
+    return latencies.length == 0 ? 0 : latencies[(latencies.length - 1) / 2];
   }
 }
--- a/core/src/main/java/org/shoreroad/routing/UpstreamStats.java
+++ b/core/src/main/java/org/shoreroad/routing/UpstreamStats.java
@@ -3,17 +3,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one process knows of one upstream by its own work: what is open, how fast it answers, how
- * often it fails.
+ * Load, latency and failures of one upstream, as seen by one process.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param inFlight how many requests of this process are open there
- * @param reportedLoad what the upstream, or its owner, last said of its load, beyond {@code
- *     inFlight}; it lags
- * @param latencyMs the decaying mean of the time to its answer, in milliseconds, 0 if unknown
- * @param failures how many requests failed there in a row
- * @param avoidUntilNanos until when, on the monotonic clock, it is passed over
+ * @param inFlight number of open requests of this process to the upstream
+ * @param reportedLoad open requests beyond {@code inFlight}, from the last report of the upstream
+ *     or its owner; the report lags behind
+ * @param latencyMs exponentially decaying mean of the response time, in milliseconds, 0 if unknown
+ * @param failures number of consecutive failed requests
+ * @param avoidUntilNanos time on the monotonic clock until which the upstream is avoided
  * @since 0.1
  */
 public record UpstreamStats(
@@ -22,7 +21,7 @@
   private static final long FIRST_AVOID_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
   private static final int MAX_DOUBLINGS = 5;
 
-  /** Returns the stats of an upstream that nothing is known of. */
+  /** Returns the stats of an upstream without any request or report so far. */
   public static UpstreamStats of(long nowNanos) {
     return new UpstreamStats(0, 0, 0, 0, nowNanos);
   }
@@ -32,20 +31,20 @@
     return new UpstreamStats(inFlight + 1, reportedLoad, latencyMs, failures, avoidUntilNanos);
   }
 
-  /** Returns a copy with one request ended well after this time. */
+  /** Returns a copy with one request completed after this time. */
   public UpstreamStats withSuccess(double tookMs) {
     double mean = latencyMs == 0 ? tookMs : latencyMs + NEW_SAMPLE_SHARE * (tookMs - latencyMs);
     return new UpstreamStats(Math.max(0, inFlight - 1), reportedLoad, mean, 0, avoidUntilNanos);
   }
 
-  /** Returns a copy with one request failed; the upstream is passed over, longer each time. */
+  /** Returns a copy with one request failed; each consecutive failure extends the avoidance. */
   public UpstreamStats withFailure(long nowNanos) {
     long avoidNanos = FIRST_AVOID_NANOS << Math.min(failures, MAX_DOUBLINGS);
     return new UpstreamStats(
         Math.max(0, inFlight - 1), reportedLoad, latencyMs, failures + 1, nowNanos + avoidNanos);
   }
 
-  /** Returns a copy with one request ended that says nothing of the upstream. */
+  /** Returns a copy with one request ended without any evidence about the upstream. */
   public UpstreamStats withCancelled() {
     return new UpstreamStats(
         Math.max(0, inFlight - 1), reportedLoad, latencyMs, failures, avoidUntilNanos);
@@ -56,7 +55,7 @@
     return new UpstreamStats(inFlight, load, latencyMs, failures, avoidUntilNanos);
   }
 
-  /** Returns true while the upstream is passed over. */
+  /** Returns true while the upstream is to be avoided. */
   public boolean isAvoided(long nowNanos) {
     return avoidUntilNanos - nowNanos > 0;
   }
--- a/core/src/main/java/org/shoreroad/routing/package-info.java
+++ b/core/src/main/java/org/shoreroad/routing/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Who does what, and where a request goes: derived from what everyone knows, without agreement.
+ * Assignment of generations to processes, and choice of an upstream for each request.
  *
- * <p>Two processes may disagree for a moment; no promise depends on it.
+ * <p>Each process computes both from its own copy of the shared state, without consensus. The
+ * results of two processes may differ for a moment; no guarantee depends on their being equal.
  */
 @NullMarked
 package org.shoreroad.routing;
--- a/core/src/test/java/org/shoreroad/routing/AttemptBudgetTest.java
+++ b/core/src/test/java/org/shoreroad/routing/AttemptBudgetTest.java
@@ -47,14 +47,14 @@
   }
 
   @Test
-  void whatWasTakenComesBackOnlyAfterTheWindow() {
+  void aTakenRepeatIsAvailableAgainOnlyAfterTheWindow() {
     takeAll(0, 9);
     assertThat(takeAll(WINDOW_SECONDS * SECOND_NANOS - 1, 9), is(0));
     assertThat(takeAll(WINDOW_SECONDS * SECOND_NANOS, 9), is(7));
   }
 
   @Test
-  void anOldClockReadingDoesNotMatter() {
+  void aNegativeClockReadingIsAllowed() {
     assertThat(new AttemptBudget(0, 90, WINDOW_SECONDS).tryRepeat(-5 * SECOND_NANOS, 9), is(true));
   }
 }
--- a/core/src/test/java/org/shoreroad/routing/RendezvousTest.java
+++ b/core/src/test/java/org/shoreroad/routing/RendezvousTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Ranking names for keys. */
+/** Tests of positions in a ranking. */
 class RendezvousTest {
   @Test
-  void thePlaceOfANameIsItsPlaceInTheRanking() {
+  void thePositionOfANameIsItsIndexInTheRanking() {
     List<String> names = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       names.add("process-" + i);
@@ -24,10 +24,10 @@
   }
 
   @Test
-  void aNameThatIsNotAmongTheOthersHasThePlaceItWouldTake() {
+  void aNameThatIsNotListedHasThePositionItWouldTake() {
     List<String> others = List.of("a", "b", "c", "d");
     List<String> all = List.of("a", "b", "c", "d", "me");
-    int place = Rendezvous.rank("key", all, name -> name).indexOf("me");
-    assertThat(Rendezvous.placeOf("me", "key", others), is(place));
+    int position = Rendezvous.rank("key", all, name -> name).indexOf("me");
+    assertThat(Rendezvous.placeOf("me", "key", others), is(position));
   }
 }
--- a/core/src/test/java/org/shoreroad/routing/RetryBudgetTest.java
+++ b/core/src/test/java/org/shoreroad/routing/RetryBudgetTest.java
@@ -8,17 +8,17 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
-/** Retries stay a tenth of the work, under any interleaving. */
+/** Checks that retries stay within a tenth of the first attempts, also under concurrency. */
 public class RetryBudgetTest {
   private final RetryBudget budget = new RetryBudget();
 
-  /** An operation that the checker interleaves. */
+  /** Operation that Lincheck interleaves. */
   @Operation
   public void recordAttempt() {
     budget.recordAttempt();
   }
 
-  /** An operation that the checker interleaves. */
+  /** Operation that Lincheck interleaves. */
   @Operation
   public boolean tryRetry() {
     return budget.tryRetry();
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void testTryRetry_staysATenthOfTheWork() {
+  void testTryRetry_staysWithinATenthOfFirstAttempts() {
     RetryBudget fresh = new RetryBudget();
     int retries = 0;
     for (int i = 0; i < 10_000; i++) {
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void testTryRetry_emptyBudgetRefuses() {
+  void testTryRetry_isRefusedWhenTheBudgetIsEmpty() {
     RetryBudget fresh = new RetryBudget();
     for (int i = 0; i < 3; i++) {
       assertThat(fresh.tryRetry(), is(true));
--- a/core/src/test/java/org/shoreroad/routing/RoutingTest.java
+++ b/core/src/test/java/org/shoreroad/routing/RoutingTest.java
@@ -18,7 +18,7 @@
 import org.shoreroad.state.Generation;
 import org.shoreroad.state.Node;
 
-/** Owners are even and move little; upstreams are chosen by load and never all passed over. */
+/** Tests of the balance and stability of the owner map, and of the choice of upstreams. */
 class RoutingTest {
   private static List<Node> nodes(int count) {
     List<Node> nodes = new ArrayList<>();
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void testOwnerMap_isEvenAndInTheOwnZone() {
+  void testOwnerMap_isBalancedWithinEachZone() {
     OwnerMap map = OwnerMap.of(generations(300), nodes(30));
     for (Node node : nodes(30)) {
       assertThat(map.ownedBy(node.id()).size(), lessThanOrEqualTo(13));
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void testOwnerMap_movesLittleWhenANodeGoes() {
+  void testOwnerMap_movesFewGenerationsWhenANodeLeaves() {
     List<Node> all = nodes(30);
     OwnerMap before = OwnerMap.of(generations(300), all);
     OwnerMap after = OwnerMap.of(generations(300), all.subList(0, 29));
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void testOwnerMap_zoneWithoutNodesIsServedFromOthers() {
+  void testOwnerMap_usesOtherZonesForAZoneWithoutNodes() {
     List<Node> others = nodes(30).stream().filter(n -> n.availabilityZone().equals("z1")).toList();
     OwnerMap map = OwnerMap.of(generations(30), others);
     for (Generation generation : generations(30)) {
@@ -72,7 +72,7 @@
   }
 
   @Property(tries = 300, seed = "7")
-  void testChoose_neverEmptyAndNeverAvoidedWhileOthersAreThere(@ForAll long seed) {
+  void testChoose_isNeverEmptyNorAvoidedWhileOthersAreUsable(@ForAll long seed) {
     Random random = new Random(seed);
     long now = 1_000_000_000L;
     List<String> names = List.of("a", "b", "c", "d");
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void testChoose_leavesASlowUpstreamBeforeItIsDead() {
+  void testChoose_excludesASlowUpstream() {
     long now = 0;
     Map<String, UpstreamStats> stats = new HashMap<>();
     for (String name : List.of("a", "b", "c")) {
@@ -109,17 +109,17 @@
   }
 
   @Test
-  void testChoose_prefixStaysHomeUntilHomeIsFull() {
+  void testChoose_keepsPrefixAffinityUntilTheUpstreamIsLoaded() {
     long now = 0;
     Map<String, UpstreamStats> stats = new HashMap<>();
     List<String> names = List.of("a", "b", "c");
     names.forEach(name -> stats.put(name, UpstreamStats.of(now)));
-    String home = UpstreamChooser.choose(names, stats, "prefix", now).orElseThrow();
-    int stayed = 0;
-    while (UpstreamChooser.choose(names, stats, "prefix", now).orElseThrow().equals(home)) {
-      stats.computeIfPresent(home, (n, s) -> s.withStarted());
-      stayed++;
+    String preferred = UpstreamChooser.choose(names, stats, "prefix", now).orElseThrow();
+    int kept = 0;
+    while (UpstreamChooser.choose(names, stats, "prefix", now).orElseThrow().equals(preferred)) {
+      stats.computeIfPresent(preferred, (n, s) -> s.withStarted());
+      kept++;
     }
-    assertThat(stayed > 1 && stayed < 10, is(true));
+    assertThat(kept > 1 && kept < 10, is(true));
   }
 }
