--- a/core/src/main/java/org/shoreroad/limit/FleetLimits.java
+++ b/core/src/main/java/org/shoreroad/limit/FleetLimits.java
@@ -85,7 +85,7 @@
   }
 
   /** Applies a report of another process; returns what it changed. */
-  public LimitChange learn(LimitReport report, long nowNanos) {
+  public LimitChange applyReport(LimitReport report, long nowNanos) {
     if (report.ageMs() > KEEP_MS) {
       return LimitChange.NONE;
     }
--- a/core/src/test/java/org/shoreroad/limit/FleetLimitsSimulationTest.java
+++ b/core/src/test/java/org/shoreroad/limit/FleetLimitsSimulationTest.java
@@ -160,7 +160,7 @@
     private void hear(Process process, String sender, List<LimitReport> reports) {
       if (process.runs(nowNanos)) {
         process.heardNanos.put(sender, nowNanos);
-        reports.forEach(report -> process.limits.learn(report, nowNanos));
+        reports.forEach(report -> process.limits.applyReport(report, nowNanos));
       }
     }
 
--- a/core/src/test/java/org/shoreroad/limit/FleetLimitsTest.java
+++ b/core/src/test/java/org/shoreroad/limit/FleetLimitsTest.java
@@ -100,9 +100,9 @@
     FleetLimits other = alone("q");
     List<LimitReport> reports = limits.reports(SECOND);
     assertThat(reports, is(List.of(new LimitReport(UPSTREAM, ONE, 0))));
-    assertThat(other.learn(reports.get(0), 2 * SECOND), is(LimitChange.BEGUN));
+    assertThat(other.applyReport(reports.get(0), 2 * SECOND), is(LimitChange.BEGUN));
     assertThat(other.isLimited(UPSTREAM), is(true));
-    assertThat("told again", other.learn(reports.get(0), 2 * SECOND), is(LimitChange.NONE));
+    assertThat("told again", other.applyReport(reports.get(0), 2 * SECOND), is(LimitChange.NONE));
   }
 
   @Test
@@ -110,8 +110,8 @@
     limits.recordAnswer(UPSTREAM, THREE, 0, 9 * SECOND);
     LimitReport older = new LimitReport(UPSTREAM, ONE, 5_000);
     LimitReport newer = new LimitReport(UPSTREAM, ONE, 500);
-    assertThat(limits.learn(older, 10 * SECOND), is(LimitChange.NONE));
-    assertThat(limits.learn(newer, 10 * SECOND), is(LimitChange.CHANGED));
+    assertThat(limits.applyReport(older, 10 * SECOND), is(LimitChange.NONE));
+    assertThat(limits.applyReport(newer, 10 * SECOND), is(LimitChange.CHANGED));
   }
 
   /** An answer without a limit may have been on its way when another answer named one. */
@@ -128,16 +128,16 @@
   void anEndIsToldToTheOthersAndALimitMayBeginAgain() {
     FleetLimits other = alone("q");
     limits.recordAnswer(UPSTREAM, ONE, 0, 5 * SECOND);
-    limits.reports(5 * SECOND).forEach(report -> other.learn(report, 5 * SECOND));
+    limits.reports(5 * SECOND).forEach(report -> other.applyReport(report, 5 * SECOND));
     limits.recordAnswer(UPSTREAM, null, 6 * SECOND, 7 * SECOND);
     List<LimitReport> reports = limits.reports(7 * SECOND);
-    assertThat(other.learn(reports.get(0), 7 * SECOND), is(LimitChange.ENDED));
+    assertThat(other.applyReport(reports.get(0), 7 * SECOND), is(LimitChange.ENDED));
     assertThat(limits.recordAnswer(UPSTREAM, ONE, 7 * SECOND, 8 * SECOND), is(LimitChange.BEGUN));
   }
 
   @Test
   void anEndOfAnUnknownLimitIsNothing() {
-    assertThat(limits.learn(new LimitReport(UPSTREAM, null, 0), 0), is(LimitChange.NONE));
+    assertThat(limits.applyReport(new LimitReport(UPSTREAM, null, 0), 0), is(LimitChange.NONE));
     assertThat(limits.recordAnswer(UPSTREAM, null, 0, 1), is(LimitChange.NONE));
     assertThat(limits.isEmpty(), is(true));
   }
@@ -177,6 +177,6 @@
     assertThat(limits.reports(later), hasSize(0));
     assertThat(limits.isEmpty(), is(true));
     LimitReport old = new LimitReport(UPSTREAM, ONE, Long.MAX_VALUE);
-    assertThat(limits.learn(old, later), is(LimitChange.NONE));
+    assertThat(limits.applyReport(old, later), is(LimitChange.NONE));
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Backpressure.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Backpressure.java
@@ -87,7 +87,7 @@
   public boolean learn(Collection<LimitReport> reports) {
     boolean hasBegun = false;
     for (LimitReport report : reports) {
-      LimitChange change = limits.learn(report, clockNanos.getAsLong());
+      LimitChange change = limits.applyReport(report, clockNanos.getAsLong());
       writeChange(change, report.upstream(), report.limit(), "peer");
       hasBegun |= change == LimitChange.BEGUN;
     }
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
@@ -66,7 +66,7 @@
     private void hear(Heartbeat heartbeat) {
       heartbeat.reports().forEach(report -> reportsHeard.add(report.id()));
       listHeard.add(heartbeat.listUpdate().end().offset());
-      heartbeat.limitReports().forEach(report -> limits.learn(report, System.nanoTime()));
+      heartbeat.limitReports().forEach(report -> limits.applyReport(report, System.nanoTime()));
     }
 
     @Override
