--- a/core/src/main/java/org/shoreroad/quarantine/CrashQuarantine.java
+++ b/core/src/main/java/org/shoreroad/quarantine/CrashQuarantine.java
@@ -111,20 +111,20 @@
    *
    * @return the requests that are quarantined by them
    */
-  public Set<RequestFingerprint> learn(Collection<CrashReport> reports, long nowNanos) {
+  public Set<RequestFingerprint> applyReports(Collection<CrashReport> reports, long nowNanos) {
     Set<RequestFingerprint> quarantined = new HashSet<>();
     for (CrashReport report : reports) {
       long idleNanos = TimeUnit.MILLISECONDS.toNanos(Math.max(0, report.idleMs()));
       boolean isOver = idleNanos >= KEEP_NANOS;
       boolean isNeedless = report.isRefuted() && !histories.containsKey(report.fingerprint());
-      if (!isOver && !isNeedless && learn(report, nowNanos - idleNanos, nowNanos)) {
+      if (!isOver && !isNeedless && applyReports(report, nowNanos - idleNanos, nowNanos)) {
         quarantined.add(report.fingerprint());
       }
     }
     return quarantined;
   }
 
-  private boolean learn(CrashReport report, long seenNanos, long nowNanos) {
+  private boolean applyReports(CrashReport report, long seenNanos, long nowNanos) {
     CrashHistory history = historyOf(report.fingerprint(), seenNanos, nowNanos);
     boolean wasQuarantined = isQuarantined(history, nowNanos);
     history.join(report, nowNanos);
--- a/core/src/test/java/org/shoreroad/quarantine/CrashQuarantineTest.java
+++ b/core/src/test/java/org/shoreroad/quarantine/CrashQuarantineTest.java
@@ -81,12 +81,12 @@
     quarantine.recordCrash(REQUEST, running("i-1"), 0);
     other.recordCrash(REQUEST, running("i-2"), 0);
     other.recordCrash(REQUEST, running("i-1"), 0);
-    quarantine.learn(other.reports(0), 0);
-    other.learn(quarantine.reports(0), 0);
+    quarantine.applyReports(other.reports(0), 0);
+    other.applyReports(quarantine.reports(0), 0);
     assertThat(other.isQuarantined(REQUEST, 0), is(false));
     quarantine.recordCrash(REQUEST, running("i-3"), 0);
-    assertThat(other.learn(quarantine.reports(0), 0), is(Set.of(REQUEST)));
-    assertThat(other.learn(quarantine.reports(0), 0), is(Set.of()));
+    assertThat(other.applyReports(quarantine.reports(0), 0), is(Set.of(REQUEST)));
+    assertThat(other.applyReports(quarantine.reports(0), 0), is(Set.of()));
     assertThat(other.isQuarantined(REQUEST, 0), is(true));
   }
 
@@ -94,12 +94,12 @@
   void aRefutationThatAPeerMissedIsNotUndoneByItsReport() {
     CrashQuarantine other = new CrashQuarantine();
     crash(quarantine, 2, 0);
-    other.learn(quarantine.reports(0), 0);
+    other.applyReports(quarantine.reports(0), 0);
     quarantine.recordAnswer(REQUEST, 0);
-    quarantine.learn(other.reports(0), 0);
+    quarantine.applyReports(other.reports(0), 0);
     quarantine.recordCrash(REQUEST, running("j-1"), 0);
     assertThat(quarantine.isQuarantined(REQUEST, 0), is(false));
-    other.learn(quarantine.reports(0), 0);
+    other.applyReports(quarantine.reports(0), 0);
     assertThat(other.recordCrash(REQUEST, running("j-2"), 0), is(false));
   }
 
@@ -110,7 +110,7 @@
     List<CrashReport> reports = quarantine.reports(LATER_NANOS);
     assertThat(reports.size(), is(1));
     CrashQuarantine started = new CrashQuarantine();
-    started.learn(reports, 0);
+    started.applyReports(reports, 0);
     assertThat(started.isQuarantined(REQUEST, 0), is(true));
   }
 
@@ -126,7 +126,7 @@
     for (int i = 0; i < 4; i++) {
       List<CrashReport> reports = quarantine.reports(LATER_NANOS);
       assertThat(reports.size(), lessThanOrEqualTo(48));
-      started.learn(reports, 0);
+      started.applyReports(reports, 0);
     }
     assertThat(started.quarantinedCount(0), is(count));
   }
@@ -147,7 +147,7 @@
     crash(quarantine, 3, 0);
     long nineMinutes = TimeUnit.MINUTES.toNanos(9);
     assertThat(quarantine.recordArrival(REQUEST, nineMinutes), is(true));
-    other.learn(quarantine.reports(nineMinutes + SECOND_NANOS), nineMinutes + SECOND_NANOS);
+    other.applyReports(quarantine.reports(nineMinutes + SECOND_NANOS), nineMinutes + SECOND_NANOS);
     long eighteenMinutes = 2 * nineMinutes;
     assertThat(quarantine.isQuarantined(REQUEST, eighteenMinutes), is(true));
     assertThat(other.isQuarantined(REQUEST, eighteenMinutes), is(true));
@@ -164,7 +164,7 @@
     CrashReport report = quarantine.reports(0).get(0);
     long keepMs = TimeUnit.NANOSECONDS.toMillis(CrashQuarantine.KEEP_NANOS);
     CrashQuarantine other = new CrashQuarantine();
-    other.learn(List.of(new CrashReport(REQUEST, report.crashes(), report.refuted(), keepMs)), 0);
+    other.applyReports(List.of(new CrashReport(REQUEST, report.crashes(), report.refuted(), keepMs)), 0);
     assertThat(other.isEmpty(), is(true));
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestQuarantine.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestQuarantine.java
@@ -66,7 +66,7 @@
     if (reports.isEmpty()) {
       return;
     }
-    Set<RequestFingerprint> quarantined = quarantine.learn(reports, clockNanos.getAsLong());
+    Set<RequestFingerprint> quarantined = quarantine.applyReports(reports, clockNanos.getAsLong());
     quarantined.forEach(request -> logQuarantined(request, "peer"));
     if (!quarantined.isEmpty()) {
       listener.accept(quarantined);
