--- a/core/src/main/java/org/shoreroad/replica/ReplicaController.java
+++ b/core/src/main/java/org/shoreroad/replica/ReplicaController.java
@@ -67,10 +67,10 @@
    * @param bootIds the engine's start, by box name
    * @param loadNames the load, by box name
    */
-  public record Wholeness(
+  public record ReplicaSnapshot(
       String headLoadName, Map<String, String> bootIds, Map<String, String> loadNames) {
     /** Copies the maps. */
-    public Wholeness {
+    public ReplicaSnapshot {
       bootIds = Map.copyOf(bootIds);
       loadNames = Map.copyOf(loadNames);
     }
@@ -107,7 +107,7 @@
    * @param nowNanos the monotonic time
    * @return the wholeness, or empty if anything is missing or not fresh
    */
-  public Optional<Wholeness> findWhole(long nowNanos) {
+  public Optional<ReplicaSnapshot> findFreshSnapshot(long nowNanos) {
     return generation.isStanding()
         ? findReady(evidence -> evidence.isFresh(nowNanos, timing.evidenceNanos()))
         : Optional.empty();
@@ -129,7 +129,7 @@
    * @param before what the boxes showed when the work was sent
    * @param sinceNanos the earliest time of sending that counts
    */
-  public boolean isWholeSince(Wholeness before, long sinceNanos) {
+  public boolean isUnchangedSince(ReplicaSnapshot before, long sinceNanos) {
     return findReady(e -> !e.hasFailedSince() && e.sentNanos() - sinceNanos >= 0)
         .filter(before::equals)
         .isPresent();
@@ -142,7 +142,7 @@
    * <p>Evidence that is merely old, or one probe that failed, breaks nothing: it keeps new work and
    * the ends of answers back until the box answers again.
    */
-  public boolean isBroken(Wholeness before, long nowNanos) {
+  public boolean isBroken(ReplicaSnapshot before, long nowNanos) {
     for (Box box : generation.boxes()) {
       BoxEvidence evidence = evidenceOf(box);
       BoxReport report = evidence.report();
@@ -181,7 +181,7 @@
   }
 
   private void decideStanding(long nowNanos, boolean mayOrder, List<ReplicaAction> actions) {
-    wasWhole |= findWhole(nowNanos).isPresent();
+    wasWhole |= findFreshSnapshot(nowNanos).isPresent();
     DissolveReason reason = findDissolveReason(nowNanos);
     if (reason != null) {
       if (mayPropose(nowNanos)) {
@@ -267,7 +267,7 @@
         .anyMatch(l -> LoadName.isOf(l.name(), generation.number()) && l.runningCount() > 0);
   }
 
-  private Optional<Wholeness> findReady(Predicate<BoxEvidence> isGood) {
+  private Optional<ReplicaSnapshot> findReady(Predicate<BoxEvidence> isGood) {
     Map<String, String> bootIds = new HashMap<>();
     Map<String, String> loadNames = new HashMap<>();
     for (Box box : generation.boxes()) {
@@ -286,7 +286,7 @@
     String headLoad = loadNames.get(generation.head().name());
     return headLoad == null
         ? Optional.empty()
-        : Optional.of(new Wholeness(headLoad, bootIds, loadNames));
+        : Optional.of(new ReplicaSnapshot(headLoad, bootIds, loadNames));
   }
 
   /** Returns the name of this generation's load on a box; of several, the least by name. */
--- a/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
+++ b/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
@@ -60,7 +60,7 @@
   private record Run(
       SimNode node,
       long generation,
-      ReplicaController.Wholeness wholeness,
+      ReplicaController.ReplicaSnapshot wholeness,
       Set<String> missingSeen) {}
 
   private static final class SimBox {
@@ -278,7 +278,7 @@
       return;
     }
     controller
-        .findWhole(nowNanos)
+        .findFreshSnapshot(nowNanos)
         .ifPresent(
             whole -> {
               Generation generation = controller.generation();
@@ -286,7 +286,7 @@
             });
   }
 
-  private void accept(SimNode node, Generation generation, ReplicaController.Wholeness whole) {
+  private void accept(SimNode node, Generation generation, ReplicaController.ReplicaSnapshot whole) {
     SimBox head = boxes.get(generation.head().name());
     boolean isRefused = isFenced && generation.fencingNumber() < head.highestFence;
     if (!head.isAlive || isRefused || !head.loads.contains(whole.headLoadName())) {
@@ -340,7 +340,7 @@
           new Event(
               nowNanos + 3 * STEP_NANOS,
               () -> {
-                if (controller.isWholeSince(run.wholeness(), sinceNanos)) {
+                if (controller.isUnchangedSince(run.wholeness(), sinceNanos)) {
                   certified++;
                   if (!run.missingSeen().isEmpty()) {
                     violations.add("answered whole while " + run.missingSeen() + " was missing");
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -90,7 +90,7 @@
   }
 
   boolean isServing(long nowNanos) {
-    return controller.findWhole(nowNanos).isPresent();
+    return controller.findFreshSnapshot(nowNanos).isPresent();
   }
 
   /** Takes in a request: queued, or refused at once. */
@@ -242,7 +242,7 @@
   }
 
   private void dispatch(QueuedItem<PendingRequest> item, long nowNanos) {
-    Optional<ReplicaController.Wholeness> whole = controller.findWhole(nowNanos);
+    Optional<ReplicaController.ReplicaSnapshot> whole = controller.findFreshSnapshot(nowNanos);
     if (whole.isEmpty()) {
       refuse(item.value(), notWhole());
       return;
@@ -315,7 +315,7 @@
     }
     for (RunningRequest request : new ArrayList<>(running.values())) {
       if (request.isEnding()
-          && controller.isWholeSince(request.wholeness(), request.endedNanos())) {
+          && controller.isUnchangedSince(request.wholeness(), request.endedNanos())) {
         running.remove(request.submission().requestId());
         complete(request, nowNanos);
       } else if (controller.isBroken(request.wholeness(), nowNanos)) {
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
@@ -18,7 +18,7 @@
  */
 final class RunningRequest {
   private final QueuedItem<PendingRequest> item;
-  private final ReplicaController.Wholeness wholeness;
+  private final ReplicaController.ReplicaSnapshot wholeness;
   private final List<byte[]> held = new ArrayList<>();
   private long nextSequence;
   private boolean isOver;
@@ -28,7 +28,7 @@
   private long tokens;
   private @Nullable Call call;
 
-  RunningRequest(QueuedItem<PendingRequest> item, ReplicaController.Wholeness wholeness) {
+  RunningRequest(QueuedItem<PendingRequest> item, ReplicaController.ReplicaSnapshot wholeness) {
     this.item = item;
     this.wholeness = wholeness;
     this.nextSequence = Math.max(0, item.value().submission().resumeAfter());
@@ -43,7 +43,7 @@
   }
 
   /** Returns what the boxes showed when the request was sent. */
-  ReplicaController.Wholeness wholeness() {
+  ReplicaController.ReplicaSnapshot wholeness() {
     return wholeness;
   }
 
