--- a/bench/src/main/java/org/shoreroad/bench/QueuePolicies.java
+++ b/bench/src/main/java/org/shoreroad/bench/QueuePolicies.java
@@ -67,7 +67,7 @@
 
     @Override
     public Optional<Request> offer(Request request) {
-      FairQueue.Offered<Request> offered =
+      FairQueue.OfferResult<Request> offered =
           queue.offer(
               new QueuedItem<>(
                   request,
--- a/core/src/main/java/org/shoreroad/queue/FairQueue.java
+++ b/core/src/main/java/org/shoreroad/queue/FairQueue.java
@@ -55,7 +55,7 @@
    * @param displaced the item that gave up its place, if any
    * @param <T> the type of the values
    */
-  public record Offered<T>(boolean isAccepted, Optional<QueuedItem<T>> displaced) {}
+  public record OfferResult<T>(boolean isAccepted, Optional<QueuedItem<T>> displaced) {}
 
   /** Sets how many items the queue holds at most; what is in it stays. */
   public void setCapacity(int capacity) {
@@ -82,10 +82,10 @@
    * @param item the item, not null
    * @return whether it was taken, and which item it displaced
    */
-  public Offered<T> offer(QueuedItem<T> item) {
+  public OfferResult<T> offer(QueuedItem<T> item) {
     if (size < capacity) {
       add(item);
-      return new Offered<>(true, Optional.empty());
+      return new OfferResult<>(true, Optional.empty());
     }
     // A later priority gives way first, from the last.
     for (int i = PRIORITIES - 1; i > item.priority(); i--) {
@@ -99,7 +99,7 @@
     if (lane.isFullerThan(item.account(), item.accountWeight())) {
       return replace(lane.removeFromFullest(), item);
     }
-    return new Offered<>(false, Optional.empty());
+    return new OfferResult<>(false, Optional.empty());
   }
 
   /**
@@ -150,10 +150,10 @@
     size++;
   }
 
-  private Offered<T> replace(Optional<QueuedItem<T>> victim, QueuedItem<T> item) {
+  private OfferResult<T> replace(Optional<QueuedItem<T>> victim, QueuedItem<T> item) {
     size--;
     add(item);
-    return new Offered<>(true, victim);
+    return new OfferResult<>(true, victim);
   }
 
   private int findFirstLane(int from) {
--- a/core/src/test/java/org/shoreroad/queue/FairQueueTest.java
+++ b/core/src/test/java/org/shoreroad/queue/FairQueueTest.java
@@ -37,7 +37,7 @@
     Set<Integer> inside = new HashSet<>();
     for (int i = 0; i < 300; i++) {
       if (random.nextInt(3) > 0) {
-        FairQueue.Offered<Integer> offered =
+        FairQueue.OfferResult<Integer> offered =
             queue.offer(
                 item(i, "a" + random.nextInt(4), 1 + random.nextInt(3), random.nextInt(10), 5));
         if (offered.isAccepted()) {
@@ -105,7 +105,7 @@
     for (int i = 0; i < 10; i++) {
       queue.offer(item(i, "a", 1, 5, 1));
     }
-    FairQueue.Offered<Integer> offered = queue.offer(item(99, "b", 1, 0, 1));
+    FairQueue.OfferResult<Integer> offered = queue.offer(item(99, "b", 1, 0, 1));
     assertThat(offered.isAccepted(), is(true));
     assertThat(offered.displaced().orElseThrow().value(), is(9));
     assertThat(queue.poll().orElseThrow().value(), is(99));
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -115,7 +115,7 @@
       dispatch(item, nowNanos);
       return;
     }
-    FairQueue.Offered<PendingRequest> offered = queue.offer(item);
+    FairQueue.OfferResult<PendingRequest> offered = queue.offer(item);
     offered.displaced().ifPresent(victim -> refuseFull(victim.value(), nowNanos));
     if (!offered.isAccepted()) {
       refuseFull(request, nowNanos);
