--- a/core/src/main/java/org/shoreroad/limit/DecimalText.java
+++ b/core/src/main/java/org/shoreroad/limit/DecimalText.java
@@ -3,23 +3,23 @@
 import java.util.Optional;
 
 /**
- * Reads decimal numbers as upstreams write them: digits with at most one point among them.
+ * Parser of the decimal numbers in upstream answers: digits with at most one decimal point.
  *
  * <p>All methods are pure and thread-safe.
  */
 final class DecimalText {
-  /** Longest text that is read; a text of this length holds any useful number. */
+  /** Maximum length of the text; enough for any number in range. */
   private static final int MAX_LENGTH = 24;
 
   private DecimalText() {}
 
-  /** Returns the number, finite and 0 or more, or empty if the text is none. */
+  /** Returns the number, finite and 0 or more, or empty if the text isn't a decimal number. */
   static Optional<Double> parse(String text) {
     String trimmed = text.trim();
     return isDecimal(trimmed) ? Optional.of(Double.valueOf(trimmed)) : Optional.empty();
   }
 
-  /** Refuses what the library would take beside, such as {@code NaN}, signs and exponents. */
+  /** Rejects what {@link Double#valueOf} also accepts, such as {@code NaN}, signs and exponents. */
   private static boolean isDecimal(String text) {
     if (text.length() > MAX_LENGTH) {
       return false;
--- a/core/src/main/java/org/shoreroad/limit/LimitChange.java
+++ b/core/src/main/java/org/shoreroad/limit/LimitChange.java
@@ -1,16 +1,16 @@
 package org.shoreroad.limit;
 
 /**
- * What an answer or a report has changed in the limit of an upstream.
+ * Change of an upstream's limit by an answer or a report.
  *
  * @since 0.2
  */
 public enum LimitChange {
-  /** Nothing, or it was older than what is known. */
+  /** The limit is the same, or the answer or report was outdated. */
   NONE,
-  /** The upstream had no limit and has one. */
+  /** The upstream had no limit and has one now. */
   BEGUN,
-  /** The limit is another one. */
+  /** The limit has another rate. */
   CHANGED,
   /** The upstream has no limit any more. */
   ENDED
--- a/core/src/main/java/org/shoreroad/limit/LimitedUpstream.java
+++ b/core/src/main/java/org/shoreroad/limit/LimitedUpstream.java
@@ -7,29 +7,30 @@
 import org.shoreroad.routing.Rendezvous;
 
 /**
- * Limit of one upstream as this process knows it, and the share of this process.
+ * Last known rate limit of one upstream, and the share of it that this process holds.
  *
- * <p>About as many processes as the limit allows requests per second hold an equal share each,
- * chosen by rendezvous hashing. A share for each process would not keep a limit near one per
- * second: if each process may send one request at any time, as many can arrive at once. Used by one
+ * <p>The number of processes that hold a share is about the number of requests per second that the
+ * limit allows. They are chosen by rendezvous hashing and hold equal shares. If every process held
+ * a share, a limit near one request per second would be exceeded: each may send one request at any
+ * time, so that as many requests as processes can arrive at once. Not thread-safe: confined to one
  * thread.
  */
 final class LimitedUpstream {
-  /** Rate used for a limit of 0: without any request, the end of the limit would go unnoticed. */
+  /** Rate used for a limit of 0: without any request, the end of the limit would not be noticed. */
   private static final double LEAST_PER_SECOND = 0.1;
 
   private final Incarnation upstream;
   private @Nullable RequestLimit limit;
-  private long toldNanos;
+  private long statedNanos;
   private long changedNanos;
   private long reportedNanos;
   private boolean isHolder;
   private @Nullable TurnPacer pacer;
 
-  LimitedUpstream(Incarnation upstream, RequestLimit limit, long toldNanos, long nowNanos) {
+  LimitedUpstream(Incarnation upstream, RequestLimit limit, long statedNanos, long nowNanos) {
     this.upstream = upstream;
     this.limit = limit;
-    this.toldNanos = toldNanos;
+    this.statedNanos = statedNanos;
     this.changedNanos = nowNanos;
     this.reportedNanos = Long.MIN_VALUE / 2;
   }
@@ -38,14 +39,14 @@
     return limit;
   }
 
-  long toldNanos() {
-    return toldNanos;
+  long statedNanos() {
+    return statedNanos;
   }
 
-  /** Applies a statement of the upstream that is later than all known ones. */
-  LimitChange tell(@Nullable RequestLimit newLimit, long newToldNanos, long nowNanos) {
+  /** Sets the limit from an answer that is newer than all earlier ones. */
+  LimitChange update(@Nullable RequestLimit newLimit, long newStatedNanos, long nowNanos) {
     RequestLimit former = limit;
-    toldNanos = newToldNanos;
+    statedNanos = newStatedNanos;
     if (newLimit == null ? former == null : newLimit.equals(former)) {
       return LimitChange.NONE;
     }
@@ -58,18 +59,18 @@
   }
 
   /**
-   * Determines again whether this process holds a share, and its interval.
+   * Recomputes whether this process holds a share, and the interval between its turns.
    *
    * @param self the name of this process, not null
-   * @param sharers the processes that the limit is divided among; if empty, this process has no
-   *     share
+   * @param sharers the names of the processes that the limit is divided among; if empty, this
+   *     process holds no share
    */
   void assignShare(String self, Set<String> sharers, long nowNanos) {
-    RequestLimit of = limit;
-    if (of == null) {
+    RequestLimit currentLimit = limit;
+    if (currentLimit == null) {
       return;
     }
-    double perSecond = Math.max(LEAST_PER_SECOND, of.perSecond());
+    double perSecond = Math.max(LEAST_PER_SECOND, currentLimit.perSecond());
     int holders = (int) Math.max(1, Math.min(sharers.size(), Math.round(perSecond)));
     long intervalNanos = (long) (TimeUnit.SECONDS.toNanos(1) * holders / perSecond);
     boolean wasHolder = isHolder;
@@ -83,7 +84,7 @@
     }
   }
 
-  /** Returns true if this process may send a request now: there is no limit, or it has a turn. */
+  /** Returns true if there is no limit, or if a turn of this process is available now. */
   boolean hasTurn(long nowNanos) {
     return limit == null || (isHolder && pacer != null && pacer.hasTurn(nowNanos));
   }
@@ -95,9 +96,9 @@
     }
   }
 
-  /** Returns true if a report is due: after a change, and again at an interval. */
-  boolean isReportDue(long newNanos, long repeatNanos, long nowNanos) {
-    return nowNanos - changedNanos < newNanos || nowNanos - reportedNanos >= repeatNanos;
+  /** Returns true if a report is due: repeatedly after a change, and again at an interval. */
+  boolean isReportDue(long announceNanos, long repeatNanos, long nowNanos) {
+    return nowNanos - changedNanos < announceNanos || nowNanos - reportedNanos >= repeatNanos;
   }
 
   long reportedNanos() {
@@ -106,7 +107,7 @@
 
   LimitReport report(long nowNanos) {
     reportedNanos = nowNanos;
-    long ageMs = TimeUnit.NANOSECONDS.toMillis(Math.max(0, nowNanos - toldNanos));
+    long ageMs = TimeUnit.NANOSECONDS.toMillis(Math.max(0, nowNanos - statedNanos));
     return new LimitReport(upstream, limit, ageMs);
   }
 }
--- a/core/src/main/java/org/shoreroad/limit/RequestLimit.java
+++ b/core/src/main/java/org/shoreroad/limit/RequestLimit.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * How many requests a second an upstream takes from all processes together.
+ * Rate of requests that an upstream accepts from all processes together.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param perSecond the requests a second, finite, 0 or more
+ * @param perSecond the requests per second, finite, 0 or more
  * @since 0.2
  */
 public record RequestLimit(double perSecond) {
@@ -19,11 +19,11 @@
   }
 
   /**
-   * Reads a limit that an upstream has named.
+   * Parses a limit that an upstream has stated.
    *
    * @param text the text, not null
-   * @return the limit, or empty if the text is no decimal number: anything but digits with at most
-   *     one point among them
+   * @return the limit, or empty if the text isn't a decimal number: digits with at most one decimal
+   *     point
    */
   public static Optional<RequestLimit> parse(String text) {
     return DecimalText.parse(text).map(RequestLimit::new);
--- a/core/src/main/java/org/shoreroad/limit/RestTime.java
+++ b/core/src/main/java/org/shoreroad/limit/RestTime.java
@@ -12,7 +12,7 @@
  * @since 0.2
  */
 public record RestTime(long nanos) {
-  /** Maximum: an upstream that is away for longer should leave the list. */
+  /** Maximum; an upstream that needs longer should be taken off the list. */
   static final RestTime LONGEST = new RestTime(TimeUnit.HOURS.toNanos(1));
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -20,15 +20,15 @@
   /** Checks the range. */
   public RestTime {
     if (nanos < 0) {
-      throw new IllegalArgumentException("a time below 0: " + nanos);
+      throw new IllegalArgumentException("time is negative: " + nanos);
     }
   }
 
   /**
-   * Reads a time that an upstream has named.
+   * Parses a time that an upstream has stated.
    *
    * @param text the seconds, not null
-   * @return the time, an hour at most, or empty if the text is no decimal number: a date, for one
+   * @return the time, an hour at most, or empty if the text isn't a decimal number, such as a date
    */
   public static Optional<RestTime> parse(String text) {
     return DecimalText.parse(text).map(RestTime::ofSeconds);
--- a/core/src/main/java/org/shoreroad/limit/package-info.java
+++ b/core/src/main/java/org/shoreroad/limit/package-info.java
@@ -1,4 +1,4 @@
-/** What upstreams in need ask for: limits that all processes share, and times of rest. */
+/** Backpressure from upstreams: rate limits that all processes share, and rests. */
 @NullMarked
 package org.shoreroad.limit;
 
--- a/core/src/test/java/org/shoreroad/limit/FleetLimitsSimulationTest.java
+++ b/core/src/test/java/org/shoreroad/limit/FleetLimitsSimulationTest.java
@@ -18,12 +18,12 @@
 import org.shoreroad.fleet.Incarnation;
 
 /**
- * Many processes, one limited upstream, delayed reports, ends and suspensions of processes: on a
- * virtual clock, with the classes that decide in the product.
+ * Simulates many processes and one limited upstream on a virtual clock, with delayed reports and
+ * with restarts and suspensions of processes. The production classes decide what is sent.
  *
- * <p>Callers send far more than the limit. What arrives is checked from outside: in no window of 4
- * s more than one and a half times what the limit allows, and 5. A process that was suspended or
- * has started in the last 3 s is not counted.
+ * <p>Guards against processes that together exceed the limit, or leave it unused. Callers send far
+ * more than the limit. In any window of 4 s, no more than 1.5 times the allowed requests plus 5 may
+ * arrive. A process that was suspended or restarted within the last 3 s is not counted.
  */
 class FleetLimitsSimulationTest {
   private static final int SEEDS = Integer.getInteger("limits.seeds", 40);
@@ -35,26 +35,26 @@
   private static final long STEP_NANOS = 5 * MILLI;
   private static final long HEARTBEAT_NANOS = 200 * MILLI;
   private static final long ALIVE_NANOS = 1_200 * MILLI;
-  private static final long NAMED_NANOS = 2_000 * MILLI;
+  private static final long LIMIT_START_NANOS = 2_000 * MILLI;
   private static final long END_NANOS = 20_000 * MILLI;
   private static final long CONTACT_NANOS = 3_000 * MILLI;
   private static final long WINDOW_NANOS = 4_000 * MILLI;
 
-  /** A process that an answer has told of the limit is counted from this time on. */
-  private static final long TOLD_NANOS = 500 * MILLI;
+  /** Time after its first answer with the limit from which a process is counted. */
+  private static final long GRACE_NANOS = 500 * MILLI;
 
   private static final double OVERAGE = 1.5;
   private static final int SLACK = 5;
-  private static final double LEAST_USED = 0.8;
+  private static final double MIN_UTILIZATION = 0.8;
 
-  /** One process: what it knows, whom it has heard, and until when it is not counted. */
+  /** One process: its limits, its peers by last heartbeat, and the time until it is counted. */
   private static final class Process {
     private String name;
     private FleetLimits limits;
-    private final Map<String, Long> heardNanos = new HashMap<>();
+    private final Map<String, Long> lastHeartbeatNanos = new HashMap<>();
     private long pausedUntilNanos;
-    private long excusedUntilNanos;
-    private long toldNanos = Long.MAX_VALUE;
+    private long uncountedUntilNanos;
+    private long informedNanos = Long.MAX_VALUE;
     private int starts;
 
     private Process(String node) {
@@ -66,18 +66,18 @@
       starts++;
       name = name.replaceAll("~.*", "") + "~" + starts;
       limits = new FleetLimits(name);
-      heardNanos.clear();
-      toldNanos = Long.MAX_VALUE;
-      excusedUntilNanos = nowNanos + CONTACT_NANOS;
+      lastHeartbeatNanos.clear();
+      informedNanos = Long.MAX_VALUE;
+      uncountedUntilNanos = nowNanos + CONTACT_NANOS;
     }
 
-    private boolean runs(long nowNanos) {
+    private boolean isRunning(long nowNanos) {
       return nowNanos >= pausedUntilNanos;
     }
 
     private Set<String> sharers(long nowNanos) {
       Set<String> names = new HashSet<>();
-      heardNanos.forEach(
+      lastHeartbeatNanos.forEach(
           (peer, nanos) -> {
             if (nowNanos - nanos < ALIVE_NANOS) {
               names.add(peer);
@@ -88,10 +88,10 @@
     }
   }
 
-  /** Something that happens at a time. */
+  /** Action that is due at a time. */
   private record Event(long atNanos, Runnable action) {}
 
-  private static final class World {
+  private static final class Simulation {
     private final SplittableRandom random;
     private final RequestLimit limit;
     private final double demandPerSecond;
@@ -103,7 +103,7 @@
     private int arrivals;
     private long nowNanos;
 
-    private World(int size, double perSecond, long seed, boolean hasFaults) {
+    private Simulation(int size, double perSecond, long seed, boolean hasFaults) {
       this.random = new SplittableRandom(seed);
       this.limit = new RequestLimit(perSecond);
       this.demandPerSecond = Math.max(8, 4 * perSecond / size);
@@ -113,37 +113,39 @@
       }
     }
 
-    private void at(long delayNanos, Runnable action) {
+    private void schedule(long delayNanos, Runnable action) {
       events.add(new Event(nowNanos + delayNanos, action));
     }
 
     private void run() {
       for (Process process : processes) {
-        at(random.nextLong(HEARTBEAT_NANOS), () -> beat(process));
+        schedule(random.nextLong(HEARTBEAT_NANOS), () -> sendHeartbeat(process));
       }
       for (nowNanos = 0; nowNanos < END_NANOS; nowNanos += STEP_NANOS) {
         while (!events.isEmpty() && events.peek().atNanos() <= nowNanos) {
           events.poll().action().run();
         }
-        processes.stream().filter(process -> process.runs(nowNanos)).forEach(this::call);
+        processes.stream()
+            .filter(process -> process.isRunning(nowNanos))
+            .forEach(this::sendRequest);
         if (hasFaults && random.nextInt(400) == 0) {
-          disturb(processes.get(random.nextInt(processes.size())));
+          injectFault(processes.get(random.nextInt(processes.size())));
         }
       }
     }
 
-    private void disturb(Process process) {
+    private void injectFault(Process process) {
       if (random.nextBoolean()) {
         process.restart(nowNanos);
       } else {
         process.pausedUntilNanos = nowNanos + random.nextLong(CONTACT_NANOS);
-        process.excusedUntilNanos = process.pausedUntilNanos + CONTACT_NANOS;
+        process.uncountedUntilNanos = process.pausedUntilNanos + CONTACT_NANOS;
       }
     }
 
-    private void beat(Process process) {
-      at(HEARTBEAT_NANOS, () -> beat(process));
-      if (!process.runs(nowNanos)) {
+    private void sendHeartbeat(Process process) {
+      schedule(HEARTBEAT_NANOS, () -> sendHeartbeat(process));
+      if (!process.isRunning(nowNanos)) {
         return;
       }
       process.limits.setSharers(process.sharers(nowNanos), nowNanos);
@@ -152,117 +154,117 @@
       for (Process other : processes) {
         if (other != process) {
           long delayNanos = random.nextLong(30 * MILLI);
-          at(delayNanos, () -> hear(other, sender, reports));
+          schedule(delayNanos, () -> receiveHeartbeat(other, sender, reports));
         }
       }
     }
 
-    private void hear(Process process, String sender, List<LimitReport> reports) {
-      if (process.runs(nowNanos)) {
-        process.heardNanos.put(sender, nowNanos);
+    private void receiveHeartbeat(Process process, String sender, List<LimitReport> reports) {
+      if (process.isRunning(nowNanos)) {
+        process.lastHeartbeatNanos.put(sender, nowNanos);
         reports.forEach(report -> process.limits.applyReport(report, nowNanos));
       }
     }
 
-    private void call(Process process) {
+    private void sendRequest(Process process) {
       double chance = demandPerSecond * STEP_NANOS / TimeUnit.SECONDS.toNanos(1);
       if (random.nextDouble() >= chance || !process.limits.takeTurn(UPSTREAM, nowNanos)) {
         return;
       }
       long sentNanos = nowNanos;
-      at(random.nextLong(5 * MILLI), () -> arrive(process, sentNanos));
+      schedule(random.nextLong(5 * MILLI), () -> arrive(process, sentNanos));
     }
 
     private void arrive(Process process, long sentNanos) {
-      boolean isTold = nowNanos - process.toldNanos >= TOLD_NANOS;
-      boolean isExcused = nowNanos < process.excusedUntilNanos;
-      arrivals += nowNanos > NAMED_NANOS + CONTACT_NANOS ? 1 : 0;
-      if (nowNanos > NAMED_NANOS && isTold && !isExcused) {
+      boolean isInformed = nowNanos - process.informedNanos >= GRACE_NANOS;
+      boolean isUncounted = nowNanos < process.uncountedUntilNanos;
+      arrivals += nowNanos > LIMIT_START_NANOS + CONTACT_NANOS ? 1 : 0;
+      if (nowNanos > LIMIT_START_NANOS && isInformed && !isUncounted) {
         countedNanos.add(nowNanos);
       }
-      RequestLimit named = nowNanos > NAMED_NANOS ? limit : null;
+      RequestLimit stated = nowNanos > LIMIT_START_NANOS ? limit : null;
       long answerNanos = 50 * MILLI + random.nextLong(1_000 * MILLI);
-      FleetLimits asked = process.limits;
-      at(
+      FleetLimits asking = process.limits;
+      schedule(
           answerNanos,
           () -> {
-            asked.recordAnswer(UPSTREAM, named, sentNanos, nowNanos);
-            if (named != null && asked == process.limits) {
-              process.toldNanos = Math.min(process.toldNanos, nowNanos);
+            asking.recordAnswer(UPSTREAM, stated, sentNanos, nowNanos);
+            if (stated != null && asking == process.limits) {
+              process.informedNanos = Math.min(process.informedNanos, nowNanos);
             }
           });
     }
 
-    /** Returns the most that arrived in a window that ends after all had time to hear. */
-    private int mostInWindow() {
-      int most = 0;
+    /** Returns the maximum in any window that ends after all processes can have the reports. */
+    private int maxInWindow() {
+      int max = 0;
       for (int last = 0; last < countedNanos.size(); last++) {
         long endNanos = countedNanos.get(last);
-        if (endNanos < NAMED_NANOS + CONTACT_NANOS) {
+        if (endNanos < LIMIT_START_NANOS + CONTACT_NANOS) {
           continue;
         }
         int count = 0;
         for (int i = last; i >= 0 && endNanos - countedNanos.get(i) < WINDOW_NANOS; i--) {
           count++;
         }
-        most = Math.max(most, count);
+        max = Math.max(max, count);
       }
-      return most;
+      return max;
     }
 
-    private double used() {
-      double seconds = (double) (END_NANOS - NAMED_NANOS - CONTACT_NANOS) / 1e9;
+    private double utilization() {
+      double seconds = (double) (END_NANOS - LIMIT_START_NANOS - CONTACT_NANOS) / 1e9;
       return arrivals / (limit.perSecond() * seconds);
     }
   }
 
-  private static List<String> findBroken(boolean hasFaults) {
-    List<String> broken = new ArrayList<>();
+  private static List<String> findExceeded(boolean hasFaults) {
+    List<String> exceeded = new ArrayList<>();
     for (int size : SIZES) {
       for (double perSecond : LIMITS) {
         for (int seed = 0; seed < SEEDS; seed++) {
-          World world = new World(size, perSecond, seed, hasFaults);
-          world.run();
+          Simulation simulation = new Simulation(size, perSecond, seed, hasFaults);
+          simulation.run();
           double allowed = OVERAGE * perSecond * WINDOW_NANOS / 1e9 + SLACK;
-          if (world.mostInWindow() > allowed) {
-            broken.add(
+          if (simulation.maxInWindow() > allowed) {
+            exceeded.add(
                 size
                     + " processes, "
                     + perSecond
                     + "/s, seed "
                     + seed
                     + ": "
-                    + world.mostInWindow());
+                    + simulation.maxInWindow());
           }
         }
       }
     }
-    return broken;
+    return exceeded;
   }
 
   @Test
-  void allTogetherKeepTheLimitInCalmTimes() {
-    assertThat(findBroken(false), empty());
+  void processesTogetherKeepTheLimitWithoutFaults() {
+    assertThat(findExceeded(false), empty());
   }
 
   @Test
-  void allTogetherKeepTheLimitWhileProcessesEndAndAreSuspended() {
-    assertThat(findBroken(true), empty());
+  void processesTogetherKeepTheLimitDuringRestartsAndSuspensions() {
+    assertThat(findExceeded(true), empty());
   }
 
   @Test
   void theLimitIsUsedWhileThereIsDemand() {
     for (int size : SIZES) {
       for (double perSecond : LIMITS) {
-        double[] used = new double[SEEDS];
+        double[] utilization = new double[SEEDS];
         for (int seed = 0; seed < SEEDS; seed++) {
-          World world = new World(size, perSecond, seed, false);
-          world.run();
-          used[seed] = world.used();
+          Simulation simulation = new Simulation(size, perSecond, seed, false);
+          simulation.run();
+          utilization[seed] = simulation.utilization();
         }
-        Arrays.sort(used);
+        Arrays.sort(utilization);
         String what = size + " processes, " + perSecond + "/s";
-        assertThat(what, used[SEEDS / 2], greaterThanOrEqualTo(LEAST_USED));
+        assertThat(what, utilization[SEEDS / 2], greaterThanOrEqualTo(MIN_UTILIZATION));
       }
     }
   }
--- a/core/src/test/java/org/shoreroad/limit/FleetLimitsTest.java
+++ b/core/src/test/java/org/shoreroad/limit/FleetLimitsTest.java
@@ -19,9 +19,9 @@
   private static final RequestLimit ONE = new RequestLimit(1);
   private static final RequestLimit THREE = new RequestLimit(3);
 
-  private final FleetLimits limits = alone("p");
+  private final FleetLimits limits = singleProcess("p");
 
-  private static FleetLimits alone(String name) {
+  private static FleetLimits singleProcess(String name) {
     FleetLimits limits = new FleetLimits(name);
     limits.setSharers(Set.of(name), 0);
     return limits;
@@ -31,20 +31,20 @@
     return IntStream.range(0, count).mapToObj(i -> "p" + i).collect(Collectors.toSet());
   }
 
-  /** Returns how many of so many processes hold a part of the limit. */
+  /** Returns the number of processes that hold a share of the limit. */
   private static int holders(int processes, RequestLimit limit) {
     int holders = 0;
     for (String name : names(processes)) {
-      FleetLimits of = new FleetLimits(name);
-      of.setSharers(names(processes), 0);
-      of.recordAnswer(UPSTREAM, limit, 0, SECOND);
-      holders += of.hasTurn(UPSTREAM, 1_000 * SECOND) ? 1 : 0;
+      FleetLimits process = new FleetLimits(name);
+      process.setSharers(names(processes), 0);
+      process.recordAnswer(UPSTREAM, limit, 0, SECOND);
+      holders += process.hasTurn(UPSTREAM, 1_000 * SECOND) ? 1 : 0;
     }
     return holders;
   }
 
   @Test
-  void anUpstreamWithoutALimitHasAlwaysATurn() {
+  void anUpstreamWithoutALimitAlwaysHasATurn() {
     assertThat(limits.isEmpty(), is(true));
     assertThat(limits.takeTurn(UPSTREAM, 0), is(true));
     assertThat(limits.takeTurn(UPSTREAM, 0), is(true));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aboutAsManyProcessesAsRequestsASecondHoldAPart() {
+  void aboutAsManyProcessesHoldSharesAsRequestsPerSecond() {
     assertThat(holders(8, ONE), is(1));
     assertThat(holders(58, THREE), is(3));
     assertThat(holders(4, new RequestLimit(50)), is(4));
@@ -69,44 +69,46 @@
   }
 
   @Test
-  void aProcessWithoutSharersHoldsNothing() {
+  void aProcessWithoutSharersHoldsNoShare() {
     FleetLimits member = new FleetLimits("p");
     member.recordAnswer(UPSTREAM, ONE, 0, SECOND);
     assertThat(member.hasTurn(UPSTREAM, 1_000 * SECOND), is(false));
   }
 
   @Test
-  void aProcessThatIsLeftAloneSendsWhatIsAllowed() {
+  void theOnlyProcessLeftTakesOverTheWholeLimit() {
     String other = names(8).stream().filter(name -> !isHolder(name)).findAny().orElseThrow();
-    FleetLimits left = new FleetLimits(other);
-    left.setSharers(names(8), 0);
-    left.recordAnswer(UPSTREAM, ONE, 0, SECOND);
-    assertThat(left.hasTurn(UPSTREAM, 9 * SECOND), is(false));
-    left.setSharers(Set.of(other), 9 * SECOND);
-    assertThat("right after another one", left.hasTurn(UPSTREAM, 9 * SECOND), is(false));
-    assertThat(left.hasTurn(UPSTREAM, 10 * SECOND), is(true));
+    FleetLimits last = new FleetLimits(other);
+    last.setSharers(names(8), 0);
+    last.recordAnswer(UPSTREAM, ONE, 0, SECOND);
+    assertThat(last.hasTurn(UPSTREAM, 9 * SECOND), is(false));
+    last.setSharers(Set.of(other), 9 * SECOND);
+    assertThat(
+        "immediately after the former holder", last.hasTurn(UPSTREAM, 9 * SECOND), is(false));
+    assertThat(last.hasTurn(UPSTREAM, 10 * SECOND), is(true));
   }
 
   private static boolean isHolder(String name) {
-    FleetLimits of = new FleetLimits(name);
-    of.setSharers(names(8), 0);
-    of.recordAnswer(UPSTREAM, ONE, 0, SECOND);
-    return of.hasTurn(UPSTREAM, 1_000 * SECOND);
+    FleetLimits process = new FleetLimits(name);
+    process.setSharers(names(8), 0);
+    process.recordAnswer(UPSTREAM, ONE, 0, SECOND);
+    return process.hasTurn(UPSTREAM, 1_000 * SECOND);
   }
 
   @Test
-  void aReportOfAnotherProcessBinds() {
+  void aReportOfAnotherProcessIsApplied() {
     limits.recordAnswer(UPSTREAM, ONE, 0, SECOND);
-    FleetLimits other = alone("q");
+    FleetLimits other = singleProcess("q");
     List<LimitReport> reports = limits.reports(SECOND);
     assertThat(reports, is(List.of(new LimitReport(UPSTREAM, ONE, 0))));
     assertThat(other.applyReport(reports.get(0), 2 * SECOND), is(LimitChange.BEGUN));
     assertThat(other.isLimited(UPSTREAM), is(true));
-    assertThat("told again", other.applyReport(reports.get(0), 2 * SECOND), is(LimitChange.NONE));
+    assertThat(
+        "reported again", other.applyReport(reports.get(0), 2 * SECOND), is(LimitChange.NONE));
   }
 
   @Test
-  void theNewestTellingCounts() {
+  void theNewestStatementCounts() {
     limits.recordAnswer(UPSTREAM, THREE, 0, 9 * SECOND);
     LimitReport older = new LimitReport(UPSTREAM, ONE, 5_000);
     LimitReport newer = new LimitReport(UPSTREAM, ONE, 500);
@@ -114,7 +116,7 @@
     assertThat(limits.applyReport(newer, 10 * SECOND), is(LimitChange.CHANGED));
   }
 
-  /** An answer without a limit may have been on its way when another answer named one. */
+  /** An answer without a limit may have been in flight when another answer stated one. */
   @Test
   void onlyAnAnswerToALaterRequestEndsALimit() {
     limits.recordAnswer(UPSTREAM, ONE, 0, 5 * SECOND);
@@ -125,8 +127,8 @@
   }
 
   @Test
-  void anEndIsToldToTheOthersAndALimitMayBeginAgain() {
-    FleetLimits other = alone("q");
+  void anEndIsReportedToOthersAndALimitMayBeginAgain() {
+    FleetLimits other = singleProcess("q");
     limits.recordAnswer(UPSTREAM, ONE, 0, 5 * SECOND);
     limits.reports(5 * SECOND).forEach(report -> other.applyReport(report, 5 * SECOND));
     limits.recordAnswer(UPSTREAM, null, 6 * SECOND, 7 * SECOND);
@@ -136,42 +138,43 @@
   }
 
   @Test
-  void anEndOfAnUnknownLimitIsNothing() {
+  void theEndOfAnUnknownLimitIsIgnored() {
     assertThat(limits.applyReport(new LimitReport(UPSTREAM, null, 0), 0), is(LimitChange.NONE));
     assertThat(limits.recordAnswer(UPSTREAM, null, 0, 1), is(LimitChange.NONE));
     assertThat(limits.isEmpty(), is(true));
   }
 
   @Test
-  void theLimitOfAFormerIncarnationDoesNotBindTheNextOne() {
+  void theLimitOfAFormerIncarnationDoesNotApplyToTheNextOne() {
     limits.recordAnswer(UPSTREAM, ONE, 0, SECOND);
     assertThat(limits.isLimited(new Incarnation("i-1", 8)), is(false));
   }
 
   @Test
-  void whatIsKnownIsToldAgainAtTimes() {
+  void aKnownLimitIsReportedAgainAtAnInterval() {
     limits.recordAnswer(UPSTREAM, ONE, 0, SECOND);
     limits.reports(SECOND);
-    assertThat("while it is new", limits.reports(SECOND + SECOND / 5), hasSize(1));
+    assertThat("soon after the change", limits.reports(SECOND + SECOND / 5), hasSize(1));
     assertThat(limits.reports(2 * SECOND + SECOND / 2), hasSize(0));
     assertThat(limits.reports(3 * SECOND + SECOND / 2), hasSize(1));
   }
 
   @Test
-  void aHeartbeatHoldsABoundedNumberAndTheOthersComeNext() {
+  void aHeartbeatHoldsABoundedNumberOfLimitsAndTheNextOneTheRest() {
     for (int i = 0; i < 100; i++) {
       limits.recordAnswer(new Incarnation("i-" + i, 1), ONE, 0, SECOND);
     }
     List<LimitReport> first = limits.reports(SECOND);
     List<LimitReport> second = limits.reports(SECOND + SECOND / 5);
     assertThat(first.size(), lessThan(100));
-    Set<Incarnation> told = first.stream().map(LimitReport::upstream).collect(Collectors.toSet());
-    second.forEach(report -> told.add(report.upstream()));
-    assertThat(told.size(), is(100));
+    Set<Incarnation> reported =
+        first.stream().map(LimitReport::upstream).collect(Collectors.toSet());
+    second.forEach(report -> reported.add(report.upstream()));
+    assertThat(reported.size(), is(100));
   }
 
   @Test
-  void aLimitThatNobodyWasToldForLongIsDropped() {
+  void aLimitThatIsNotStatedAgainIsDropped() {
     limits.recordAnswer(UPSTREAM, ONE, 0, SECOND);
     long later = SECOND + TimeUnit.MILLISECONDS.toNanos(FleetLimits.KEEP_MS) + 1;
     assertThat(limits.reports(later), hasSize(0));
--- a/core/src/test/java/org/shoreroad/limit/RequestLimitTest.java
+++ b/core/src/test/java/org/shoreroad/limit/RequestLimitTest.java
@@ -10,7 +10,7 @@
 
 class RequestLimitTest {
   @Test
-  void readsDecimalNumbers() {
+  void parsesDecimalNumbers() {
     assertThat(RequestLimit.parse("1.2"), is(Optional.of(new RequestLimit(1.2))));
     assertThat(RequestLimit.parse(" 50 "), is(Optional.of(new RequestLimit(50))));
     assertThat(RequestLimit.parse(".5"), is(Optional.of(new RequestLimit(0.5))));
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void passesOverWhatIsNoDecimalNumber() {
+  void ignoresTextThatIsNotADecimalNumber() {
     List<String> texts =
         List.of("", ".", "1.2.3", "-1", "+1", "1e3", "NaN", "Infinity", "0x1p3", "1,2", "1 2");
     for (String text : texts) {
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void holdsNoNumberThatIsNoRate() {
+  void rejectsNegativeAndNonFiniteRates() {
     assertThrows(IllegalArgumentException.class, () -> new RequestLimit(-0.1));
     assertThrows(IllegalArgumentException.class, () -> new RequestLimit(Double.NaN));
     assertThrows(IllegalArgumentException.class, () -> new RequestLimit(Double.POSITIVE_INFINITY));
--- a/core/src/test/java/org/shoreroad/limit/TurnPacerTest.java
+++ b/core/src/test/java/org/shoreroad/limit/TurnPacerTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aTurnMayComeHalfAnIntervalEarlyButNotEachTime() {
+  void aTurnMayBeUsedHalfAnIntervalEarlyButNotRepeatedly() {
     TurnPacer pacer = new TurnPacer(SECOND, 0);
     pacer.take(2 * SECOND);
     assertThat(pacer.hasTurn(2 * SECOND + SECOND / 2 - 1), is(false));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void turnsThatWereNotTakenAreLost() {
+  void unusedTurnsDoNotAccumulate() {
     TurnPacer pacer = new TurnPacer(SECOND, 0);
     pacer.take(60 * SECOND);
     pacer.take(60 * SECOND + SECOND / 2);
@@ -35,14 +35,14 @@
   }
 
   @Test
-  void aShorterIntervalCountsAtOnce() {
+  void aShorterIntervalAppliesAtOnce() {
     TurnPacer pacer = new TurnPacer(10 * SECOND, 0);
     pacer.setInterval(SECOND, 0);
     assertThat(pacer.hasTurn(SECOND / 2), is(true));
   }
 
   @Test
-  void aNewHolderBeginsWithAPause() {
+  void aNewHolderStartsWithAPause() {
     TurnPacer pacer = new TurnPacer(SECOND, 0);
     pacer.restart(9 * SECOND);
     assertThat(pacer.hasTurn(9 * SECOND), is(false));
--- a/core/src/test/java/org/shoreroad/limit/UpstreamRestsTest.java
+++ b/core/src/test/java/org/shoreroad/limit/UpstreamRestsTest.java
@@ -15,7 +15,7 @@
   private final UpstreamRests rests = new UpstreamRests();
 
   @Test
-  void aRestLastsAsLongAsItIsAskedFor() {
+  void aRestLastsForTheRequestedTime() {
     rests.begin(UPSTREAM, THREE_SECONDS, SECOND);
     assertThat(rests.isResting(UPSTREAM, SECOND), is(true));
     assertThat(rests.isResting(UPSTREAM, 4 * SECOND - 1), is(true));
@@ -30,13 +30,13 @@
   }
 
   @Test
-  void anotherIncarnationDoesNotRest() {
+  void aRestDoesNotApplyToAnotherIncarnation() {
     rests.begin(UPSTREAM, THREE_SECONDS, SECOND);
     assertThat(rests.isResting(new Incarnation("i-1", 8), SECOND), is(false));
   }
 
   @Test
-  void restsThatAreOverAreForgotten() {
+  void expiredRestsAreRemoved() {
     rests.begin(UPSTREAM, THREE_SECONDS, 0);
     rests.begin(new Incarnation("i-2", 1), new RestTime(0), 9 * SECOND);
     rests.begin(new Incarnation("i-3", 1), new RestTime(0), 9 * SECOND);
