--- a/core/src/main/java/org/shoreroad/limit/DecimalText.java
+++ b/core/src/main/java/org/shoreroad/limit/DecimalText.java
@@ -8,7 +8,7 @@
  * <p>All methods are pure and thread-safe.
  */
 final class DecimalText {
-  /** Maximum length of the text; enough for any number in range. */
+  /** Maximum length of the text, which is enough for any useful number. */
   private static final int MAX_LENGTH = 24;
 
   private DecimalText() {}
--- a/core/src/main/java/org/shoreroad/limit/TurnPacer.java
+++ b/core/src/main/java/org/shoreroad/limit/TurnPacer.java
@@ -33,7 +33,7 @@
     dueNanos = Math.min(dueNanos, nowNanos + newIntervalNanos);
   }
 
-  /** Delays the next turn as for a new pacer, when this process gets a share again. */
+  /** Delays the next turn as in a new pacer, when this process has just got its share. */
   void restart(long nowNanos) {
     dueNanos = Math.max(dueNanos, nowNanos + intervalNanos);
   }
--- a/core/src/main/java/org/shoreroad/quarantine/CrashHistory.java
+++ b/core/src/main/java/org/shoreroad/quarantine/CrashHistory.java
@@ -7,9 +7,13 @@
 import java.util.Set;
 import org.shoreroad.fleet.Incarnation;
 
-/** The crashes under one request. Used by one thread. */
+/**
+ * Crashes of upstreams while they had one request open.
+ *
+ * <p>Not thread-safe: confined to one thread.
+ */
 final class CrashHistory {
-  /** Bounds the memory of one history; a quarantine begins at six crashes at the most. */
+  /** Bound of the memory of one history; a quarantine needs six crashes at most. */
   private static final int MAX_CRASHES = 32;
 
   private final RequestFingerprint fingerprint;
@@ -28,7 +32,7 @@
     return fingerprint;
   }
 
-  /** Adds a crash; one upstream counts once, however many returns of the request it ran. */
+  /** Adds a crash; each upstream counts once, however often the request was sent to it. */
   void add(Crash crash, long nowNanos) {
     Crash known = crashes.get(crash.upstream());
     boolean isKnown = known != null && (known.hadBegun() || !crash.hadBegun());
@@ -38,15 +42,15 @@
     }
   }
 
-  /** Takes all crashes so far off the request. */
+  /** Marks all crashes so far as not caused by the request. */
   void refute(long nowNanos) {
     if (refuted.addAll(crashes.keySet())) {
       changedNanos = nowNanos;
     }
   }
 
-  /** Joins what another process knows. */
-  void join(CrashReport report, long nowNanos) {
+  /** Merges a report of another process. */
+  void merge(CrashReport report, long nowNanos) {
     report.crashes().forEach(crash -> add(crash, nowNanos));
     for (Incarnation upstream : report.refuted()) {
       if (crashes.containsKey(upstream) && refuted.add(upstream)) {
@@ -55,12 +59,12 @@
     }
   }
 
-  /** Notes that the request was seen at a time; an earlier one than known changes nothing. */
-  void seenAt(long nanos) {
+  /** Records a time at which the request was seen; an earlier time than known has no effect. */
+  void recordSeen(long nanos) {
     seenNanos = Math.max(seenNanos, nanos);
   }
 
-  /** Returns how much the crashes tell against the request; see {@link Crash#weight()}. */
+  /** Returns the total weight of the crashes that aren't refuted; see {@link Crash#weight()}. */
   int weight() {
     int weight = 0;
     for (Crash crash : crashes.values()) {
--- a/core/src/main/java/org/shoreroad/quarantine/CrashQuarantine.java
+++ b/core/src/main/java/org/shoreroad/quarantine/CrashQuarantine.java
@@ -12,55 +12,57 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides which requests are sent to no upstream any more, since upstreams end under them.
+ * Quarantine of requests that crash upstreams: decides which requests are no longer sent to any.
  *
- * <p>The load that it answers: a request whose content crashes each upstream that begins to run it,
- * and whose caller returns to any process. Without it one such request ended 43 upstreams in a
+ * <p>The content of a request may crash every upstream that begins to run it, while its caller
+ * retries it at any process. Without a quarantine one such request crashed 43 upstreams in a
  * minute, each with up to 32 requests of other callers.
  *
- * <p>Three upstreams that ended while they ran the request are the evidence. Two are not: requests
- * that were open at one crash are moved together, so that bystanders commonly meet a second crash,
- * and three are what the users allow. A whole answer refutes the crashes before it, which keeps a
- * request that many callers send alike, such as a lookup without a body, out of quarantine.
+ * <p>A request is quarantined after three crashes of upstreams that were running it, the number of
+ * crashes that the requirements allow. Two are not enough evidence: requests that were open at one
+ * crash are moved together, so that harmless ones commonly see a second crash. A complete answer
+ * refutes the crashes before it. This keeps identical requests of many callers, such as a lookup
+ * without a body, out of quarantine.
  *
- * <p>What one process knows, the others join from its reports. It reads no clock: times are passed
- * in, in nanoseconds of the steady clock. Used by one thread.
+ * <p>Processes exchange reports of the crashes and merge them. This class reads no clock: times are
+ * passed in, in nanoseconds of the monotonic clock. Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 public final class CrashQuarantine {
-  /** Three crashes under a running request, or six under one that may only have waited. */
+  /** Three crashes of upstreams that ran the request, or six where it may only have waited. */
   static final int QUARANTINE_WEIGHT = 6;
 
   /**
-   * A request of which nothing was seen for this long may run again: a new version of the upstreams
-   * may bear it, and what is kept has to end. Minutes pass between the returns of patient callers.
+   * Time without a crash or arrival after which a request may run again, and its history is
+   * removed: a new version of the upstreams may handle it, and memory is bounded. Callers may wait
+   * minutes between retries.
    */
   static final long KEEP_NANOS = TimeUnit.MINUTES.toNanos(10);
 
   /**
-   * How many requests are kept: 25 crashes within the time above, with 20 requests open at each.
-   * One with three crashes takes 1.1 KB of heap, so 0.6 MB at most.
+   * Maximum number of histories: 25 crashes within {@link #KEEP_NANOS}, with 20 open requests each.
+   * A history of three crashes takes 1.1 KB of heap, 0.6 MB in all.
    */
   static final int MAX_REQUESTS = 512;
 
-  /** Five heartbeats: a change is told so often, so that lost ones do not matter. */
-  private static final long NEW_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /** Time for which a change is reported: five heartbeats, so that a lost one does no harm. */
+  private static final long ANNOUNCE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** Most requests in one heartbeat: 95 bytes each with three crashes, so 4.6 KB. */
+  /** Maximum number of requests in one heartbeat: 95 bytes each with three crashes, 4.6 KB. */
   private static final int MAX_REPORTED = 48;
 
   private final Map<RequestFingerprint, CrashHistory> histories = new LinkedHashMap<>();
 
-  /** The quarantined requests after this many are the next to be told. */
-  private int toldCount;
+  /** Index of the quarantined request that was reported last. */
+  private int lastReportedIndex;
 
-  /** Returns true if no crash under any request is known, so that none need be identified. */
+  /** Returns true if no crash is known, so that callers can skip the fingerprints. */
   public boolean isEmpty() {
     return histories.isEmpty();
   }
 
-  /** Returns true if the request is to be sent to no upstream. */
+  /** Returns true if the request must not be sent to any upstream. */
   public boolean isQuarantined(RequestFingerprint request, long nowNanos) {
     CrashHistory history = histories.get(request);
     return history != null && isQuarantined(history, nowNanos);
@@ -71,34 +73,34 @@
   }
 
   /**
-   * Notes that a caller has sent the request; a quarantine lasts until it has not been sent for ten
-   * minutes.
+   * Records that a caller sent the request. A quarantine lasts until the request hasn't been sent
+   * for ten minutes.
    *
-   * @return true if the request is to be sent to no upstream
+   * @return true if the request must not be sent to any upstream
    */
   public boolean recordArrival(RequestFingerprint request, long nowNanos) {
     CrashHistory history = histories.get(request);
     if (history == null || !isQuarantined(history, nowNanos)) {
       return false;
     }
-    history.seenAt(nowNanos);
+    history.recordSeen(nowNanos);
     return true;
   }
 
   /**
-   * Notes that an upstream ended under the request.
+   * Records that an upstream crashed while the request was open on it.
    *
-   * @return true if the request is quarantined by this crash
+   * @return true if this crash begins the quarantine of the request
    */
   public boolean recordCrash(RequestFingerprint request, Crash crash, long nowNanos) {
     CrashHistory history = historyOf(request, nowNanos, nowNanos);
     boolean wasQuarantined = isQuarantined(history, nowNanos);
     history.add(crash, nowNanos);
-    history.seenAt(nowNanos);
+    history.recordSeen(nowNanos);
     return !wasQuarantined && isQuarantined(history, nowNanos);
   }
 
-  /** Notes that an upstream has answered the request in whole, so that it ended none of them. */
+  /** Records a complete answer to the request, which refutes all crashes so far. */
   public void recordAnswer(RequestFingerprint request, long nowNanos) {
     CrashHistory history = histories.get(request);
     if (history != null) {
@@ -107,9 +109,9 @@
   }
 
   /**
-   * Joins the reports of another process.
+   * Merges the reports of another process.
    *
-   * @return the requests that are quarantined by them
+   * @return the requests whose quarantine begins by these reports
    */
   public Set<RequestFingerprint> applyReports(Collection<CrashReport> reports, long nowNanos) {
     Set<RequestFingerprint> quarantined = new HashSet<>();
@@ -117,18 +119,18 @@
       long idleNanos = TimeUnit.MILLISECONDS.toNanos(Math.max(0, report.idleMs()));
       boolean isOver = idleNanos >= KEEP_NANOS;
       boolean isNeedless = report.isRefuted() && !histories.containsKey(report.fingerprint());
-      if (!isOver && !isNeedless && applyReports(report, nowNanos - idleNanos, nowNanos)) {
+      if (!isOver && !isNeedless && applyReport(report, nowNanos - idleNanos, nowNanos)) {
         quarantined.add(report.fingerprint());
       }
     }
     return quarantined;
   }
 
-  private boolean applyReports(CrashReport report, long seenNanos, long nowNanos) {
+  private boolean applyReport(CrashReport report, long seenNanos, long nowNanos) {
     CrashHistory history = historyOf(report.fingerprint(), seenNanos, nowNanos);
     boolean wasQuarantined = isQuarantined(history, nowNanos);
-    history.join(report, nowNanos);
-    history.seenAt(seenNanos);
+    history.merge(report, nowNanos);
+    history.recordSeen(seenNanos);
     return !wasQuarantined && isQuarantined(history, nowNanos);
   }
 
@@ -146,7 +148,7 @@
     return created;
   }
 
-  /** Drops what is too old, and if that is nothing the oldest request without quarantine. */
+  /** Removes expired histories, else the oldest without quarantine, else the oldest of all. */
   private void makeRoom(long nowNanos) {
     removeExpired(nowNanos);
     Iterator<CrashHistory> oldestFirst = histories.values().iterator();
@@ -165,9 +167,9 @@
   }
 
   /**
-   * Returns what to tell the other processes now: all that changed within the last second, and the
-   * quarantined requests, in turn if they are many. So a process that starts has them with the
-   * first heartbeats.
+   * Returns the reports for the next heartbeat: the histories that changed within the last second,
+   * and the quarantined requests, in rotation if there are many. A process that starts thereby
+   * receives all quarantined requests within its first heartbeats.
    */
   public List<CrashReport> reports(long nowNanos) {
     if (histories.isEmpty()) {
@@ -177,26 +179,26 @@
     List<CrashHistory> changed = new ArrayList<>();
     List<CrashHistory> settled = new ArrayList<>();
     for (CrashHistory history : histories.values()) {
-      if (history.hasChangedWithin(NEW_NANOS, nowNanos)) {
+      if (history.hasChangedWithin(ANNOUNCE_NANOS, nowNanos)) {
         changed.add(history);
       } else if (isQuarantined(history, nowNanos)) {
         settled.add(history);
       }
     }
-    // Those with the most crashes are told even if more requests were broken than can be told.
+    // Those with the highest weight come first, since the number of reports is bounded.
     changed.sort((one, other) -> Integer.compare(other.weight(), one.weight()));
     List<CrashReport> reports = new ArrayList<>();
     for (CrashHistory history : changed.subList(0, Math.min(changed.size(), MAX_REPORTED))) {
       reports.add(toReport(history, nowNanos));
     }
     for (int i = 0; i < settled.size() && reports.size() < MAX_REPORTED; i++) {
-      toldCount = (toldCount + 1) % settled.size();
-      reports.add(toReport(settled.get(toldCount), nowNanos));
+      lastReportedIndex = (lastReportedIndex + 1) % settled.size();
+      reports.add(toReport(settled.get(lastReportedIndex), nowNanos));
     }
     return reports;
   }
 
-  /** Returns what to tell of one request, or empty if no crash under it is known. */
+  /** Returns the report of one request, or empty if no crash is known for it. */
   public Optional<CrashReport> report(RequestFingerprint request, long nowNanos) {
     return Optional.ofNullable(histories.get(request)).map(history -> toReport(history, nowNanos));
   }
@@ -205,7 +207,7 @@
     return history.toReport(TimeUnit.NANOSECONDS.toMillis(history.idleNanos(nowNanos)));
   }
 
-  /** Returns how many requests are quarantined. */
+  /** Returns the number of quarantined requests. */
   public int quarantinedCount(long nowNanos) {
     int count = 0;
     for (CrashHistory history : histories.values()) {
--- a/core/src/main/java/org/shoreroad/quarantine/CrashReport.java
+++ b/core/src/main/java/org/shoreroad/quarantine/CrashReport.java
@@ -6,16 +6,18 @@
 import org.shoreroad.fleet.Incarnation;
 
 /**
- * All that a process has to tell of the crashes under one request.
+ * Report of the crashes of upstreams while they had one request open, sent from one process to the
+ * others.
  *
- * <p>Reports of several processes are joined: their crashes and refutations only add up, in any
- * order and any number of times. This class is immutable and thread-safe.
+ * <p>Merging reports is commutative and idempotent: crashes and refutations are only ever added, so
+ * that reports may come in any order and any number of times. This class is immutable and
+ * thread-safe.
  *
  * @param fingerprint the request, not null
- * @param crashes the upstreams that ended under it, not null
- * @param refuted those of them that it did not end, since it was answered in whole afterwards, not
- *     null
- * @param idleMs how long ago a crash under it, or a caller's return with it, was last known of, in
+ * @param crashes the crashes while the request was open, not null
+ * @param refuted the upstreams whose crash the request didn't cause, since a complete answer to it
+ *     followed, not null
+ * @param idleMs the time since the last known crash, or since a caller last sent the request, in
  *     milliseconds
  * @since 0.2
  */
@@ -28,7 +30,7 @@
     refuted = Set.copyOf(refuted);
   }
 
-  /** Returns true if no crash tells against the request. */
+  /** Returns true if every crash is refuted. */
   boolean isRefuted() {
     return crashes.stream().allMatch(crash -> refuted.contains(crash.upstream()));
   }
--- a/core/src/main/java/org/shoreroad/quarantine/RequestFingerprint.java
+++ b/core/src/main/java/org/shoreroad/quarantine/RequestFingerprint.java
@@ -9,11 +9,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Identity of a request that stays the same when its caller sends it again, at any process.
+ * Digest that identifies a request when its caller sends it again, to any process.
  *
- * <p>Two requests are the same if method, host, path with query, caller and body are. It is the
- * first half of a SHA-256 digest: callers choose the bodies, and with a weaker digest one could
- * make up a request that is taken for another's. This class is immutable and thread-safe.
+ * <p>Two requests are the same if method, host, path with query, caller and body are equal. The
+ * fingerprint is the first half of a SHA-256 digest. Callers choose the bodies, and with a weaker
+ * digest a caller could construct a request with the fingerprint of another. This class is
+ * immutable and thread-safe.
  *
  * @param high the first 64 bits
  * @param low the next 64 bits
@@ -29,7 +30,7 @@
    * @param host the host name without a port, not null
    * @param uri the path and the query, not null
    * @param caller the name of the client account, or an empty text, not null
-   * @param body the whole body; its position is left as it is, not null
+   * @param body the whole body, not null; its position is not changed
    */
   public static RequestFingerprint of(
       String method, String host, String uri, String caller, ByteBuffer body) {
@@ -43,7 +44,7 @@
     return new RequestFingerprint(bits.getLong(), bits.getLong());
   }
 
-  /** Adds a text with its length, so that no two lists of texts have the same bytes. */
+  /** Adds a text after its length, so that different lists of texts never give equal bytes. */
   private static void update(MessageDigest digest, String text) {
     byte[] bytes = Objects.requireNonNull(text, "text").getBytes(StandardCharsets.UTF_8);
     digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
@@ -54,12 +55,13 @@
     try {
       return MessageDigest.getInstance(DIGEST);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has " + DIGEST, e);
+      throw new IllegalStateException("digest is missing in this Java platform: " + DIGEST, e);
     }
   }
 
-  // Written out: the generated methods are method handles, which cost 20 to 40 ms of processor time
-  // at their first use in a process, and 137 ns a lookup in place of 26 ns with the C1 compiler.
+  // Replaces the generated record methods. These are method handles, which take 20 to 40 ms of
+  // processor time at their first use in a process, and make a map lookup take 137 ns, not 26 ns,
+  // with the C1 compiler.
 
   @Override
   public boolean equals(@Nullable Object other) {
@@ -71,7 +73,7 @@
     return Long.hashCode(high);
   }
 
-  /** Returns the 32 hexadecimal digits by which logs name the request. */
+  /** Returns 32 hexadecimal digits, the form in log lines. */
   @Override
   public String toString() {
     HexFormat digits = HexFormat.of();
--- a/core/src/main/java/org/shoreroad/quarantine/package-info.java
+++ b/core/src/main/java/org/shoreroad/quarantine/package-info.java
@@ -1,4 +1,4 @@
-/** Requests that end the upstreams they run at: their identity, the evidence, the decision. */
+/** Quarantine of requests that crash the upstreams that run them. */
 @NullMarked
 package org.shoreroad.quarantine;
 
--- a/core/src/test/java/org/shoreroad/quarantine/CrashQuarantineTest.java
+++ b/core/src/test/java/org/shoreroad/quarantine/CrashQuarantineTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void threeUpstreamsThatEndWhileTheyRunItAreTheEvidence() {
+  void threeCrashesOfUpstreamsThatRanTheRequestQuarantineIt() {
     assertThat(quarantine.recordCrash(REQUEST, running("i-1"), 0), is(false));
     assertThat(quarantine.recordCrash(REQUEST, running("i-2"), 0), is(false));
     assertThat(quarantine.recordCrash(REQUEST, running("i-3"), 0), is(true));
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aRequestThatMayOnlyHaveWaitedNeedsTwiceAsMany() {
+  void aRequestThatMayOnlyHaveWaitedNeedsTwiceAsManyCrashes() {
     for (int i = 0; i < 5; i++) {
       assertThat(quarantine.recordCrash(REQUEST, waiting("i-" + i), 0), is(false));
     }
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void manyReturnsAtOneUpstreamThatEndsCountOnce() {
+  void manyCrashesOfOneIncarnationCountOnce() {
     for (int i = 0; i < 9; i++) {
       quarantine.recordCrash(REQUEST, running("i-1"), 0);
     }
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void anUpstreamThatStartedAgainUnderItsIdCountsAnew() {
+  void eachIncarnationOfAnUpstreamCounts() {
     for (int bornMs = 1; bornMs <= 3; bornMs++) {
       quarantine.recordCrash(REQUEST, new Crash(new Incarnation("i-1", bornMs), true), 0);
     }
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aWholeAnswerRefutesTheCrashesBeforeItAndNoLaterOnes() {
+  void aCompleteAnswerRefutesOnlyTheCrashesBeforeIt() {
     crash(quarantine, 2, 0);
     quarantine.recordAnswer(REQUEST, 0);
     assertThat(quarantine.recordCrash(REQUEST, running("j-1"), 0), is(false));
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void aRefutationThatAPeerMissedIsNotUndoneByItsReport() {
+  void aReportOfAPeerThatMissedARefutationDoesNotUndoIt() {
     CrashQuarantine other = new CrashQuarantine();
     crash(quarantine, 2, 0);
     other.applyReports(quarantine.reports(0), 0);
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void aProcessThatStartsLaterIsToldWhatIsQuarantinedButNotOldCrashes() {
+  void aProcessThatStartsLaterGetsTheQuarantinedRequestsButNotOldCrashes() {
     crash(quarantine, 3, 0);
     quarantine.recordCrash(new RequestFingerprint(3, 3), running("i-1"), 0);
     List<CrashReport> reports = quarantine.reports(LATER_NANOS);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void allQuarantinedRequestsAreToldInTurn() {
+  void allQuarantinedRequestsAreReportedInRotation() {
     int count = 100;
     for (int i = 0; i < count; i++) {
       for (int j = 0; j < 3; j++) {
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void ofManyNewOnesThoseWithTheMostCrashesAreTold() {
+  void requestsWithTheMostCrashesAreReportedFirst() {
     for (int i = 0; i < 100; i++) {
       quarantine.recordCrash(new RequestFingerprint(i, 0), waiting("i-1"), 0);
     }
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void aQuarantineLastsWhileTheRequestReturnsAndEndsEverywhere() {
+  void aQuarantineLastsWhileTheRequestIsSentAndThenEndsAtAllProcesses() {
     CrashQuarantine other = new CrashQuarantine();
     crash(quarantine, 3, 0);
     long nineMinutes = TimeUnit.MINUTES.toNanos(9);
@@ -159,17 +159,18 @@
   }
 
   @Test
-  void anExpiredReportBringsNothingBack() {
+  void anExpiredReportIsIgnored() {
     crash(quarantine, 3, 0);
     CrashReport report = quarantine.reports(0).get(0);
     long keepMs = TimeUnit.NANOSECONDS.toMillis(CrashQuarantine.KEEP_NANOS);
     CrashQuarantine other = new CrashQuarantine();
-    other.applyReports(List.of(new CrashReport(REQUEST, report.crashes(), report.refuted(), keepMs)), 0);
+    other.applyReports(
+        List.of(new CrashReport(REQUEST, report.crashes(), report.refuted(), keepMs)), 0);
     assertThat(other.isEmpty(), is(true));
   }
 
   @Test
-  void whatIsKeptIsBoundedAndTheQuarantinedStay() {
+  void theNumberOfHistoriesIsBoundedAndQuarantinedOnesAreKept() {
     crash(quarantine, 3, 0);
     for (int i = 0; i < 2 * CrashQuarantine.MAX_REQUESTS; i++) {
       quarantine.recordCrash(new RequestFingerprint(9, i), running("i-1"), SECOND_NANOS);
--- a/core/src/test/java/org/shoreroad/quarantine/RequestFingerprintTest.java
+++ b/core/src/test/java/org/shoreroad/quarantine/RequestFingerprintTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void eachPartCounts() {
+  void eachPartChangesTheFingerprint() {
     RequestFingerprint one = of("POST", "h", "/a", "office", "body");
     assertThat(of("GET", "h", "/a", "office", "body"), is(not(one)));
     assertThat(of("POST", "g", "/a", "office", "body"), is(not(one)));
@@ -36,13 +36,13 @@
   }
 
   @Test
-  void aSignThatMovesToTheNextPartCounts() {
+  void aCharacterThatMovesToTheNextPartChangesTheFingerprint() {
     assertThat(of("POST", "h", "/ab", "c", ""), is(not(of("POST", "h", "/a", "bc", ""))));
     assertThat(of("POST", "h", "/a", "b", "c"), is(not(of("POST", "h", "/a", "bc", ""))));
   }
 
   @Test
-  void theBodyCanStillBeRead() {
+  void thePositionOfTheBodyIsNotChanged() {
     ByteBuffer body = bytes("body");
     RequestFingerprint.of("POST", "h", "/a", "", body);
     assertThat(body.remaining(), is(4));
