--- a/core/src/main/java/org/shoreroad/queue/AccountFairLane.java
+++ b/core/src/main/java/org/shoreroad/queue/AccountFairLane.java
@@ -11,19 +11,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The items of one priority, shared among client accounts by weighted cost.
+ * Queue of the items of one priority that is fair among client accounts by weighted cost.
  *
- * <p>Start-time fair queueing: an account's next item starts, in virtual time, where its last one
- * ended; the account with the earliest start goes next. Not thread-safe.
+ * <p>Implements start-time fair queueing: the virtual start of an account's next item is the
+ * virtual finish of its last one, and the account with the earliest start is served next. Not
+ * thread-safe.
  *
  * @param <T> the type of the values
  */
 final class AccountFairLane<T> {
-  /** Accounts without items are forgotten above this number. */
-  private static final int IDLE_ACCOUNTS_KEPT = 1024;
+  /** Number of accounts above which those without items are removed. */
+  private static final int IDLE_REMOVAL_THRESHOLD = 1024;
 
-  private final Map<String, AccountLine<T>> lines = new HashMap<>();
-  private final PriorityQueue<AccountLine<T>> waiting = new PriorityQueue<>();
+  private final Map<String, AccountQueue<T>> queues = new HashMap<>();
+  private final PriorityQueue<AccountQueue<T>> waiting = new PriorityQueue<>();
   private double virtualTime;
   private int size;
   private long nextOrder;
@@ -33,73 +34,73 @@
   }
 
   void add(QueuedItem<T> item) {
-    AccountLine<T> line = lines.computeIfAbsent(item.account(), AccountLine::new);
-    line.weight = item.accountWeight();
-    line.items.addLast(item);
+    AccountQueue<T> queue = queues.computeIfAbsent(item.account(), AccountQueue::new);
+    queue.weight = item.accountWeight();
+    queue.items.addLast(item);
     size++;
-    if (line.items.size() == 1) {
-      line.start = Math.max(virtualTime, line.finish);
-      line.order = nextOrder++;
-      waiting.add(line);
+    if (queue.items.size() == 1) {
+      queue.start = Math.max(virtualTime, queue.finish);
+      queue.order = nextOrder++;
+      waiting.add(queue);
     }
   }
 
   Optional<QueuedItem<T>> poll() {
-    AccountLine<T> line = waiting.poll();
-    if (line == null) {
+    AccountQueue<T> queue = waiting.poll();
+    if (queue == null) {
       return Optional.empty();
     }
-    QueuedItem<T> item = line.items.removeFirst();
+    QueuedItem<T> item = queue.items.removeFirst();
     size--;
-    virtualTime = line.start;
-    line.finish = line.start + item.cost() / (double) line.weight;
-    requeue(line);
-    forgetIdle();
+    virtualTime = queue.start;
+    queue.finish = queue.start + item.cost() / (double) queue.weight;
+    requeue(queue);
+    removeIdle();
     return Optional.of(item);
   }
 
   void settle(QueuedItem<T> item, long realCost) {
-    AccountLine<T> line = lines.get(item.account());
-    if (line == null) {
+    AccountQueue<T> queue = queues.get(item.account());
+    if (queue == null) {
       return;
     }
-    double correction = (realCost - item.cost()) / (double) line.weight;
-    line.finish += correction;
-    if (!line.items.isEmpty()) {
-      waiting.remove(line);
-      line.start = Math.max(virtualTime, line.start + correction);
-      waiting.add(line);
+    double correction = (realCost - item.cost()) / (double) queue.weight;
+    queue.finish += correction;
+    if (!queue.items.isEmpty()) {
+      waiting.remove(queue);
+      queue.start = Math.max(virtualTime, queue.start + correction);
+      waiting.add(queue);
     }
   }
 
-  /** Returns true if some account holds more per weight than the named one would with one more. */
+  /** Returns true if any account has more items per weight than this one after another item. */
   boolean isFullerThan(String account, int weight) {
-    AccountLine<T> fullest = findFullest();
+    AccountQueue<T> fullest = findFullest();
     if (fullest == null) {
       return false;
     }
-    AccountLine<T> own = lines.get(account);
+    AccountQueue<T> own = queues.get(account);
     int ownCount = own == null ? 0 : own.items.size();
-    return fullest.crowding() > (ownCount + 1) / (double) weight;
+    return fullest.itemsPerWeight() > (ownCount + 1) / (double) weight;
   }
 
   Optional<QueuedItem<T>> removeFromFullest() {
-    AccountLine<T> fullest = findFullest();
+    AccountQueue<T> fullest = findFullest();
     if (fullest == null) {
       return Optional.empty();
     }
     size--;
-    QueuedItem<T> victim = fullest.items.removeLast();
+    QueuedItem<T> removed = fullest.items.removeLast();
     if (fullest.items.isEmpty()) {
       waiting.remove(fullest);
     }
-    return Optional.of(victim);
+    return Optional.of(removed);
   }
 
   void removeIf(Predicate<QueuedItem<T>> condition, List<QueuedItem<T>> removed) {
-    for (AccountLine<T> line : lines.values()) {
-      boolean wasWaiting = !line.items.isEmpty();
-      for (Iterator<QueuedItem<T>> it = line.items.iterator(); it.hasNext(); ) {
+    for (AccountQueue<T> queue : queues.values()) {
+      boolean wasWaiting = !queue.items.isEmpty();
+      for (Iterator<QueuedItem<T>> it = queue.items.iterator(); it.hasNext(); ) {
         QueuedItem<T> item = it.next();
         if (condition.test(item)) {
           it.remove();
@@ -107,38 +108,38 @@
           removed.add(item);
         }
       }
-      if (wasWaiting && line.items.isEmpty()) {
-        waiting.remove(line);
+      if (wasWaiting && queue.items.isEmpty()) {
+        waiting.remove(queue);
       }
     }
   }
 
-  private void requeue(AccountLine<T> line) {
-    if (!line.items.isEmpty()) {
-      line.start = line.finish;
-      line.order = nextOrder++;
-      waiting.add(line);
+  private void requeue(AccountQueue<T> queue) {
+    if (!queue.items.isEmpty()) {
+      queue.start = queue.finish;
+      queue.order = nextOrder++;
+      waiting.add(queue);
     }
   }
 
-  private void forgetIdle() {
-    if (lines.size() > IDLE_ACCOUNTS_KEPT) {
-      lines.values().removeIf(l -> l.items.isEmpty() && l.finish <= virtualTime);
+  private void removeIdle() {
+    if (queues.size() > IDLE_REMOVAL_THRESHOLD) {
+      queues.values().removeIf(queue -> queue.items.isEmpty() && queue.finish <= virtualTime);
     }
   }
 
-  private @Nullable AccountLine<T> findFullest() {
-    AccountLine<T> fullest = null;
-    for (AccountLine<T> line : waiting) {
-      if (fullest == null || line.crowding() > fullest.crowding()) {
-        fullest = line;
+  private @Nullable AccountQueue<T> findFullest() {
+    AccountQueue<T> fullest = null;
+    for (AccountQueue<T> queue : waiting) {
+      if (fullest == null || queue.itemsPerWeight() > fullest.itemsPerWeight()) {
+        fullest = queue;
       }
     }
     return fullest;
   }
 
-  /** The items of one account. */
-  private static final class AccountLine<T> implements Comparable<AccountLine<T>> {
+  /** Items and virtual times of one account. */
+  private static final class AccountQueue<T> implements Comparable<AccountQueue<T>> {
     private final String account;
     private final ArrayDeque<QueuedItem<T>> items = new ArrayDeque<>();
     private int weight = 1;
@@ -146,16 +147,16 @@
     private double finish;
     private long order;
 
-    AccountLine(String account) {
+    AccountQueue(String account) {
       this.account = account;
     }
 
-    double crowding() {
+    double itemsPerWeight() {
       return items.size() / (double) weight;
     }
 
     @Override
-    public int compareTo(AccountLine<T> other) {
+    public int compareTo(AccountQueue<T> other) {
       int byStart = Double.compare(start, other.start);
       return byStart != 0 ? byStart : Long.compare(order, other.order);
     }
--- a/core/src/main/java/org/shoreroad/queue/DrainRate.java
+++ b/core/src/main/java/org/shoreroad/queue/DrainRate.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How fast a queue drains, and so when a refused caller should come back.
+ * Drain rate of a queue, and the retry delay for refused callers that follows from it.
  *
  * <p>The rate is an exponentially decaying mean of the completions in the last seconds. Not
- * thread-safe: one thread owns it.
+ * thread-safe: confined to one thread.
  *
  * @since 0.1
  */
 public final class DrainRate {
-  /** The least time that a caller is told to wait, in milliseconds. */
+  /** Minimum retry delay, in milliseconds. */
   public static final long MIN_RETRY_AFTER_MS = 200;
 
-  /** The greatest time that a caller is told to wait, in milliseconds. */
+  /** Maximum retry delay, in milliseconds. */
   public static final long MAX_RETRY_AFTER_MS = 60_000;
 
   private static final double DECAY_SECONDS = 5;
@@ -25,7 +25,7 @@
   private long updatedNanos;
 
   /**
-   * Starts with no completions.
+   * Creates a rate without completions.
    *
    * @param nowNanos the monotonic time
    */
@@ -33,25 +33,27 @@
     updatedNanos = nowNanos;
   }
 
-  /** Notes one completion. */
+  /** Records one completion. */
   public void record(long nowNanos) {
     decay(nowNanos);
     completions++;
   }
 
-  /** Returns the completions a second. */
+  /** Returns the completions per second. */
   public double perSecond(long nowNanos) {
     decay(nowNanos);
     return completions / DECAY_SECONDS;
   }
 
   /**
-   * Returns when to come back: the time the items ahead need, plus up to half of it as jitter.
+   * Returns the retry delay: the expected wait for the items ahead, plus up to half of it as
+   * jitter.
    *
    * @param nowNanos the monotonic time
-   * @param ahead how many items are ahead, 0 or more
+   * @param ahead the number of items ahead, 0 or more
    * @param random a number from 0 (inclusive) to 1 (exclusive)
-   * @return milliseconds, from {@link #MIN_RETRY_AFTER_MS} to {@link #MAX_RETRY_AFTER_MS}
+   * @return the delay in milliseconds, from {@link #MIN_RETRY_AFTER_MS} to {@link
+   *     #MAX_RETRY_AFTER_MS}
    */
   public long retryAfterMs(long nowNanos, int ahead, double random) {
     double rate = perSecond(nowNanos);
--- a/core/src/main/java/org/shoreroad/queue/FairQueue.java
+++ b/core/src/main/java/org/shoreroad/queue/FairQueue.java
@@ -6,40 +6,40 @@
 import java.util.function.Predicate;
 
 /**
- * A bounded queue with precedence among priorities and fairness among client accounts.
+ * Bounded queue with priorities and with fairness among client accounts.
  *
  * <ul>
- *   <li>A lower priority number goes first, but every {@value #TURN_OF_OTHERS}th item is taken from
- *       the other priorities in turn, so that none starves.
- *   <li>Within a priority, accounts share by weighted cost (start-time fair queueing), so an
- *       account's flood lengthens only its own wait.
- *   <li>When the queue is full, a newcomer takes the place of the newest item of a later priority,
- *       or else of the account that fills its own priority most beyond its weight; where neither is
- *       behind the newcomer, the newcomer is refused.
+ *   <li>A lower priority number goes first, but every {@value #OTHERS_INTERVAL}th item is taken
+ *       from the other priorities in rotation, so that none starves.
+ *   <li>Within a priority, accounts share by weighted cost (start-time fair queueing), so that many
+ *       items of one account delay only that account.
+ *   <li>When the queue is full, a new item displaces the newest item of a later priority, or else
+ *       of the account with the most items per weight in the same priority. If neither ranks behind
+ *       the new item, the new item is refused.
  * </ul>
  *
- * <p>Not thread-safe: one thread owns a queue. Times come from the caller.
+ * <p>Not thread-safe: confined to one thread. Times are passed in by the caller.
  *
  * @param <T> the type of the values
  * @since 0.1
  */
 public final class FairQueue<T> {
-  /** How many priorities there are. */
+  /** Number of priorities. */
   public static final int PRIORITIES = 10;
 
-  /** Every how many items one goes to the priorities behind the first. */
-  public static final int TURN_OF_OTHERS = 10;
+  /** Number of polls of which one takes an item from a priority behind the first. */
+  public static final int OTHERS_INTERVAL = 10;
 
   private final List<AccountFairLane<T>> lanes = new ArrayList<>();
   private int capacity;
   private int size;
-  private int takenInARow;
+  private int pollsSinceOthers;
   private int lastOtherLane;
 
   /**
    * Creates an empty queue.
    *
-   * @param capacity how many items it holds at most, 0 or more
+   * @param capacity the maximum number of items, 0 or more
    */
   public FairQueue(int capacity) {
     this.capacity = capacity;
@@ -49,25 +49,25 @@
   }
 
   /**
-   * What an offer led to.
+   * Result of an offer.
    *
-   * @param isAccepted whether the newcomer is in the queue
-   * @param displaced the item that gave up its place, if any
+   * @param isAccepted whether the offered item is in the queue
+   * @param displaced the item that was removed to make room, if any
    * @param <T> the type of the values
    */
   public record OfferResult<T>(boolean isAccepted, Optional<QueuedItem<T>> displaced) {}
 
-  /** Sets how many items the queue holds at most; what is in it stays. */
+  /** Sets the maximum number of items; items above it stay in the queue. */
   public void setCapacity(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Returns how many items wait. */
+  /** Returns the number of items. */
   public int size() {
     return size;
   }
 
-  /** Returns how many items wait at this priority or before it. */
+  /** Returns the number of items of this priority and all before it. */
   public int sizeUpTo(int priority) {
     int count = 0;
     for (int i = 0; i <= priority; i++) {
@@ -80,21 +80,21 @@
    * Offers an item.
    *
    * @param item the item, not null
-   * @return whether it was taken, and which item it displaced
+   * @return whether the item was accepted, and the item that it displaced
    */
   public OfferResult<T> offer(QueuedItem<T> item) {
     if (size < capacity) {
       add(item);
       return new OfferResult<>(true, Optional.empty());
     }
-    // A later priority gives way first, from the last.
+    // Later priorities are displaced first, from the last.
     for (int i = PRIORITIES - 1; i > item.priority(); i--) {
-      Optional<QueuedItem<T>> victim = lanes.get(i).removeFromFullest();
-      if (victim.isPresent()) {
-        return replace(victim, item);
+      Optional<QueuedItem<T>> displaced = lanes.get(i).removeFromFullest();
+      if (displaced.isPresent()) {
+        return replace(displaced, item);
       }
     }
-    // Then the account that takes most of the same priority beyond its weight.
+    // Then the account with the most items per weight in the same priority.
     AccountFairLane<T> lane = lanes.get(item.priority());
     if (lane.isFullerThan(item.account(), item.accountWeight())) {
       return replace(lane.removeFromFullest(), item);
@@ -105,7 +105,7 @@
   /**
    * Takes the next item.
    *
-   * @return the item, or empty if none waits
+   * @return the item, or empty if the queue is empty
    */
   public Optional<QueuedItem<T>> poll() {
     int first = findFirstLane(0);
@@ -113,21 +113,21 @@
       return Optional.empty();
     }
     int lane = first;
-    takenInARow++;
-    if (takenInARow >= TURN_OF_OTHERS) {
-      takenInARow = 0;
+    pollsSinceOthers++;
+    if (pollsSinceOthers >= OTHERS_INTERVAL) {
+      pollsSinceOthers = 0;
       lane = findOtherLane(first);
     }
     size--;
     return lanes.get(lane).poll();
   }
 
-  /** Takes out every item whose deadline has passed, in no particular order. */
+  /** Removes and returns the items whose deadline has passed, in no particular order. */
   public List<QueuedItem<T>> removeOverdue(long nowNanos) {
     return removeIf(item -> item.deadlineNanos() - nowNanos < 0);
   }
 
-  /** Takes out every item that the condition holds for. */
+  /** Removes and returns the items that match the condition. */
   public List<QueuedItem<T>> removeIf(Predicate<QueuedItem<T>> condition) {
     List<QueuedItem<T>> removed = new ArrayList<>();
     lanes.forEach(lane -> lane.removeIf(condition, removed));
@@ -136,9 +136,9 @@
   }
 
   /**
-   * Corrects an account's share once the real cost is known.
+   * Corrects an account's share when the real cost is known.
    *
-   * @param item the item that was taken and run
+   * @param item the item that was polled and run
    * @param realCost its real cost, 0 or more
    */
   public void settle(QueuedItem<T> item, long realCost) {
@@ -150,10 +150,10 @@
     size++;
   }
 
-  private OfferResult<T> replace(Optional<QueuedItem<T>> victim, QueuedItem<T> item) {
+  private OfferResult<T> replace(Optional<QueuedItem<T>> displaced, QueuedItem<T> item) {
     size--;
     add(item);
-    return new OfferResult<>(true, victim);
+    return new OfferResult<>(true, displaced);
   }
 
   private int findFirstLane(int from) {
@@ -164,7 +164,7 @@
     return lane;
   }
 
-  /** Returns the next lane behind the first that holds an item, in turn; the first if none does. */
+  /** Returns the next nonempty lane behind the first, in rotation, else the first itself. */
   private int findOtherLane(int first) {
     for (int step = 1; step <= PRIORITIES; step++) {
       int lane = (lastOtherLane + step) % PRIORITIES;
--- a/core/src/main/java/org/shoreroad/queue/QueuedItem.java
+++ b/core/src/main/java/org/shoreroad/queue/QueuedItem.java
@@ -1,16 +1,16 @@
 package org.shoreroad.queue;
 
 /**
- * What waits in a {@link FairQueue}.
+ * Item of a {@link FairQueue}.
  *
  * <p>This class is immutable; it is as thread-safe as its value.
  *
- * @param value what is to be started
- * @param account the client account it counts for
- * @param accountWeight the account's share, 1 or more
+ * @param value the work to be started
+ * @param account the client account that the item counts for
+ * @param accountWeight the weight of the account's share, 1 or more
  * @param priority the priority, 0 (first) to 9 (last)
  * @param cost the expected cost in weighted tokens, positive
- * @param deadlineNanos when, on the monotonic clock, it must have been started
+ * @param deadlineNanos the time on the monotonic clock by which it must have been started
  * @param <T> the type of the value
  * @since 0.1
  */
--- a/core/src/main/java/org/shoreroad/queue/package-info.java
+++ b/core/src/main/java/org/shoreroad/queue/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The queue in front of one replica: precedence, fairness, bounds, deadlines, and when to come
- * back.
+ * Bounded queue in front of one replica, with priorities, fair shares, deadlines and retry delays.
  */
 @NullMarked
 package org.shoreroad.queue;
--- a/core/src/test/java/org/shoreroad/queue/FairQueueTest.java
+++ b/core/src/test/java/org/shoreroad/queue/FairQueueTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Precedence without starving, fairness by cost, bounds, and nothing lost or doubled. */
+/** Tests of priorities without starvation, fairness by cost, bounds and displaced items. */
 class FairQueueTest {
   private static final long FAR = Long.MAX_VALUE / 4;
 
@@ -30,7 +30,7 @@
   }
 
   @Property(tries = 300, seed = "7")
-  void testOfferPoll_losesAndDoublesNothing(@ForAll long seed) {
+  void testOfferPoll_neitherLosesNorDuplicatesItems(@ForAll long seed) {
     Random random = new Random(seed);
     int capacity = random.nextInt(20);
     FairQueue<Integer> queue = new FairQueue<>(capacity);
@@ -55,17 +55,17 @@
   }
 
   @Test
-  void testPoll_lookupsDoNotStarveAndBulletinsGoFirst() {
+  void testPoll_takesUrgentItemsFirstWithoutStarvingOthers() {
     FairQueue<Integer> queue = new FairQueue<>(10_000);
     for (int i = 0; i < 1_000; i++) {
       queue.offer(item(i, "a", 1, 0, 1));
       queue.offer(item(i, "a", 1, 5, 1));
     }
-    int lookups = 0;
+    int laterItems = 0;
     for (int i = 0; i < 1_000; i++) {
-      lookups += queue.poll().orElseThrow().priority() == 5 ? 1 : 0;
+      laterItems += queue.poll().orElseThrow().priority() == 5 ? 1 : 0;
     }
-    assertThat(lookups, is(1_000 / FairQueue.TURN_OF_OTHERS));
+    assertThat(laterItems, is(1_000 / FairQueue.OTHERS_INTERVAL));
   }
 
   @Test
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void testOffer_floodLengthensOnlyItsOwnWait() {
+  void testOffer_manyItemsOfOneAccountDelayOnlyThatAccount() {
     FairQueue<Integer> queue = new FairQueue<>(1_000);
     for (int i = 0; i < 999; i++) {
       queue.offer(item(i, "flood", 1, 3, 1));
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void testOffer_fullQueueOfLookupsTakesBulletin() {
+  void testOffer_urgentItemDisplacesALaterPriority() {
     FairQueue<Integer> queue = new FairQueue<>(10);
     for (int i = 0; i < 10; i++) {
       queue.offer(item(i, "a", 1, 5, 1));
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void testOffer_fullQueueOfOneAccountTakesAnother() {
+  void testOffer_itemOfAnotherAccountDisplacesTheFullestAccount() {
     FairQueue<Integer> queue = new FairQueue<>(10);
     for (int i = 0; i < 10; i++) {
       queue.offer(item(i, "flood", 1, 5, 1));
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void testRemoveOverdue_takesOnlyTheLate() {
+  void testRemoveOverdue_removesOnlyOverdueItems() {
     FairQueue<Integer> queue = new FairQueue<>(10);
     queue.offer(new QueuedItem<>(1, "a", 1, 0, 1, 100));
     queue.offer(new QueuedItem<>(2, "a", 1, 0, 1, 200));
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void testRetryAfter_followsTheDrainRateWithinBounds() {
+  void testRetryAfter_isBasedOnTheDrainRateWithinBounds() {
     DrainRate rate = new DrainRate(0);
     long second = 1_000_000_000L;
     for (int i = 0; i < 500; i++) {
