--- a/core/src/main/java/org/shoreroad/replica/BoxReport.java
+++ b/core/src/main/java/org/shoreroad/replica/BoxReport.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a box's engine answered to one probe.
+ * Answer of a box's engine to one probe.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param bootId the id that the engine took at its start
- * @param loads what is loaded or being loaded
- * @param runningCount how many requests run there, by the engine's lagging count
+ * @param bootId the id that the engine chose at its start
+ * @param loads the models that are loaded or being loaded
+ * @param runningCount the number of running requests as the engine counts them; it lags behind
  * @since 0.1
  */
 public record BoxReport(String bootId, List<Load> loads, int runningCount) {
@@ -19,11 +19,11 @@
   }
 
   /**
-   * One model that is loaded or being loaded.
+   * Model that is loaded or being loaded.
    *
-   * @param name the name it is loaded under
-   * @param isReady whether it is loaded
-   * @param runningCount how many requests run on it
+   * @param name the load name
+   * @param isReady whether the model is loaded completely
+   * @param runningCount the number of requests that run on it
    */
   public record Load(String name, boolean isReady, int runningCount) {}
 }
--- a/core/src/main/java/org/shoreroad/replica/ReplicaAction.java
+++ b/core/src/main/java/org/shoreroad/replica/ReplicaAction.java
@@ -5,7 +5,7 @@
 import org.shoreroad.state.DissolveReason;
 
 /**
- * What the owner of a generation wants done.
+ * Action that the owner of a generation has decided on.
  *
  * <p>Implementations are immutable and thread-safe.
  *
@@ -13,31 +13,31 @@
  */
 public sealed interface ReplicaAction {
   /**
-   * Order a box to load; to be sent once, under a name never used again.
+   * Order to a box to load a model. It is sent once; its load name is never used again.
    *
    * @param box the box
-   * @param name the name to load under
-   * @param rank the box's place in the replica, from 0
+   * @param name the load name
+   * @param rank the zero-based position of the box in the replica
    */
   record OrderLoad(Box box, LoadName name, int rank) implements ReplicaAction {}
 
   /**
-   * Order a box to unload.
+   * Order to a box to unload a model.
    *
    * @param box the box
-   * @param loadName the name to unload
+   * @param loadName the load name
    */
   record OrderUnload(Box box, String loadName) implements ReplicaAction {}
 
   /**
-   * Propose in the log that the generation ends.
+   * Proposal, appended to the log, to dissolve the generation.
    *
-   * @param reason why
+   * @param reason the reason
    */
   record ProposeDissolve(DissolveReason reason) implements ReplicaAction {}
 
   /**
-   * Propose in the log that a box is free.
+   * Proposal, appended to the log, to release a box.
    *
    * @param box the box's name
    */
--- a/core/src/main/java/org/shoreroad/replica/ReplicaController.java
+++ b/core/src/main/java/org/shoreroad/replica/ReplicaController.java
@@ -14,17 +14,20 @@
 import org.shoreroad.state.Generation;
 
 /**
- * The owner's view of one generation and its decisions.
+ * State of one generation as its owner sees it, and the owner's decisions.
  *
- * <p>While the generation stands: every box is brought to hold exactly this generation, and work
- * may be sent only while fresh evidence shows every box ready. Once it is dissolved: running
- * requests are finished where the reason allows it, everything of the generation is unloaded, and a
- * box is proposed for release only when it was read back as holding nothing of it. A box that can't
- * be read back stays bound, however long, so that no box is ever in two replicas. Where the engine
- * ignores fencing numbers, the box also stays bound until every process that does not yet know of
- * the dissolving has lost the right to order loads.
+ * <p>While the generation is standing, the controller orders loads and unloads until every box has
+ * exactly this generation loaded. Requests may be sent only while fresh evidence shows every box
+ * ready.
  *
- * <p>The class performs no input or output and is not thread-safe: the owner's thread calls it.
+ * <p>After the generation is dissolved, running requests are finished if the reason allows it, all
+ * loads of the generation are unloaded, and a box is proposed for release only when a probe shows
+ * no load of the generation on it. A box that doesn't answer probes stays bound without a time
+ * limit, so that no box is ever in two replicas. Since an engine may ignore fencing numbers, the
+ * box also stays bound until every process that hasn't read the dissolution from the log has lost
+ * the right to order loads.
+ *
+ * <p>This class performs no input or output. Not thread-safe: confined to the owner's thread.
  *
  * @since 0.1
  */
@@ -38,14 +41,14 @@
   private long dissolvedSeenNanos;
   private long proposedAtNanos;
   private boolean hasProposed;
-  private boolean wasWhole;
+  private boolean wasReady;
 
   /**
-   * Creates the view of a generation of which no box was seen yet.
+   * Creates a controller without any evidence of the boxes.
    *
    * @param generation the generation, not null
-   * @param timing the times, not null
-   * @param orderNumbers gives a number for each load order, unique for ever
+   * @param timing the timeouts and intervals, not null
+   * @param orderNumbers the source of load order numbers, which must never repeat
    * @param nowNanos the monotonic time
    */
   public ReplicaController(
@@ -61,11 +64,11 @@
   }
 
   /**
-   * What every box of a whole replica showed: its engine's start and its load.
+   * Boot ids and load names of all boxes of a ready replica.
    *
-   * @param headLoadName the name that requests have to use
-   * @param bootIds the engine's start, by box name
-   * @param loadNames the load, by box name
+   * @param headLoadName the load name that requests have to use
+   * @param bootIds the boot id of the engine, by box name
+   * @param loadNames the load name, by box name
    */
   public record ReplicaSnapshot(
       String headLoadName, Map<String, String> bootIds, Map<String, String> loadNames) {
@@ -76,12 +79,12 @@
     }
   }
 
-  /** Returns the generation as the log last showed it. */
+  /** Returns the generation as last read from the log. */
   public Generation generation() {
     return generation;
   }
 
-  /** Takes in the generation as the log now shows it. */
+  /** Sets the generation as read from the log. */
   public void setGeneration(Generation next, long nowNanos) {
     if (generation.isStanding() && !next.isStanding()) {
       dissolvedSeenNanos = nowNanos;
@@ -91,29 +94,29 @@
     generation = next;
   }
 
-  /** Takes in the answer to a probe. */
+  /** Records the answer to a probe. */
   public void recordReport(String box, BoxReport report, long sentNanos) {
     evidenceByBox.computeIfPresent(box, (b, e) -> e.withReport(report, sentNanos));
   }
 
-  /** Takes in that a probe failed. */
+  /** Records a failed probe. */
   public void recordFailure(String box, long sentNanos) {
     evidenceByBox.computeIfPresent(box, (b, e) -> e.withFailure(sentNanos));
   }
 
   /**
-   * Returns what the boxes show, if the generation stands and each of them is there and ready.
+   * Returns a snapshot of the boxes if the generation is standing and every box is ready.
    *
    * @param nowNanos the monotonic time
-   * @return the wholeness, or empty if anything is missing or not fresh
+   * @return the snapshot, or empty if a load is missing or the evidence of a box isn't fresh
    */
   public Optional<ReplicaSnapshot> findFreshSnapshot(long nowNanos) {
     return generation.isStanding()
-        ? findReady(evidence -> evidence.isFresh(nowNanos, timing.evidenceNanos()))
+        ? findSnapshot(evidence -> evidence.isFresh(nowNanos, timing.evidenceNanos()))
         : Optional.empty();
   }
 
-  /** Returns until when the evidence of every box counts, if none fails before. */
+  /** Returns the time until which the evidence of every box is valid, unless a probe fails. */
   public long evidenceUntilNanos() {
     return evidenceByBox.values().stream()
             .mapToLong(BoxEvidence::sentNanos)
@@ -123,51 +126,51 @@
   }
 
   /**
-   * Returns true if every box answered a probe sent at this time or later and shows the same start
-   * and load as before: the replica was whole all the while.
+   * Returns true if every box answered a probe sent at this time or later with the same boot id and
+   * load name as before: the replica was ready all the time.
    *
-   * @param before what the boxes showed when the work was sent
-   * @param sinceNanos the earliest time of sending that counts
+   * @param before the snapshot at the time the request was sent
+   * @param sinceNanos the earliest time of sending of the probes that count
    */
   public boolean isUnchangedSince(ReplicaSnapshot before, long sinceNanos) {
-    return findReady(e -> !e.hasFailedSince() && e.sentNanos() - sinceNanos >= 0)
+    return findSnapshot(e -> !e.hasFailedSince() && e.sentNanos() - sinceNanos >= 0)
         .filter(before::equals)
         .isPresent();
   }
 
   /**
-   * Returns true if the replica that work was sent to is no more: a box shows another start or
-   * load, or has been silent for so long that it counts as lost.
+   * Returns true if the replica that a request was sent to no longer exists: a box has another boot
+   * id or load name, or hasn't answered for so long that it counts as lost.
    *
-   * <p>Evidence that is merely old, or one probe that failed, breaks nothing: it keeps new work and
-   * the ends of answers back until the box answers again.
+   * <p>Evidence that is only old, or one failed probe, doesn't make a replica broken. It delays new
+   * requests and the ends of answers until the box answers again.
    */
   public boolean isBroken(ReplicaSnapshot before, long nowNanos) {
     for (Box box : generation.boxes()) {
       BoxEvidence evidence = evidenceOf(box);
       BoxReport report = evidence.report();
-      boolean isOther =
+      boolean hasChanged =
           report != null
               && !(report.bootId().equals(before.bootIds().get(box.name()))
                   && isReady(report, before.loadNames().getOrDefault(box.name(), "")));
-      if (isOther || evidence.silentNanos(nowNanos) > timing.lostNanos()) {
+      if (hasChanged || evidence.silentNanos(nowNanos) > timing.lostNanos()) {
         return true;
       }
     }
     return false;
   }
 
-  /** Returns the last evidence of a box. */
+  /** Returns the evidence of a box. */
   public Optional<BoxEvidence> evidence(String box) {
     return Optional.ofNullable(evidenceByBox.get(box));
   }
 
   /**
-   * Decides what is to be done now.
+   * Decides the next actions.
    *
    * @param nowNanos the monotonic time
-   * @param mayOrder whether this process is in touch with the log, without which it orders no load
-   * @param ownRunning how many requests this process has running on the generation
+   * @param mayOrder whether this process is in contact with the log, the condition for load orders
+   * @param ownRunning the number of requests of this process that run on the generation
    * @return the actions, in order
    */
   public List<ReplicaAction> decide(long nowNanos, boolean mayOrder, int ownRunning) {
@@ -181,7 +184,7 @@
   }
 
   private void decideStanding(long nowNanos, boolean mayOrder, List<ReplicaAction> actions) {
-    wasWhole |= findFreshSnapshot(nowNanos).isPresent();
+    wasReady |= findFreshSnapshot(nowNanos).isPresent();
     DissolveReason reason = findDissolveReason(nowNanos);
     if (reason != null) {
       if (mayPropose(nowNanos)) {
@@ -193,7 +196,7 @@
       Box box = generation.boxes().get(rank);
       BoxReport report = freshReport(box, nowNanos);
       if (report != null) {
-        unloadForeign(box, report, nowNanos, actions);
+        unloadStale(box, report, nowNanos, actions);
         if (mayOrder && ownLoad(report) == null && mayOrderAgain("load/" + box.name(), nowNanos)) {
           LoadName name = new LoadName(generation.model(), generation.number(), orderNumbers.get());
           actions.add(new ReplicaAction.OrderLoad(box, name, rank));
@@ -210,12 +213,11 @@
       }
     }
     boolean isLate = nowNanos - ownedSinceNanos > timing.loadNanos();
-    return isLate && !wasWhole ? DissolveReason.LOAD_FAILED : null;
+    return isLate && !wasReady ? DissolveReason.LOAD_FAILED : null;
   }
 
-  /** Orders out what an earlier generation, or a late order, left on the box. */
-  private void unloadForeign(
-      Box box, BoxReport report, long nowNanos, List<ReplicaAction> actions) {
+  /** Unloads what an earlier generation, or a delayed order, left on the box. */
+  private void unloadStale(Box box, BoxReport report, long nowNanos, List<ReplicaAction> actions) {
     String kept = ownLoad(report);
     for (BoxReport.Load load : report.loads()) {
       boolean isOlder = generationOf(load.name()) <= generation.number();
@@ -258,7 +260,7 @@
     return reason != null && reason.isGraceful();
   }
 
-  /** Returns true if an engine says that requests run on this generation, whoever sent them. */
+  /** Returns true if an engine reports running requests of any process on this generation. */
   private boolean isAnyRunning() {
     return evidenceByBox.values().stream()
         .map(BoxEvidence::report)
@@ -267,13 +269,13 @@
         .anyMatch(l -> LoadName.isOf(l.name(), generation.number()) && l.runningCount() > 0);
   }
 
-  private Optional<ReplicaSnapshot> findReady(Predicate<BoxEvidence> isGood) {
+  private Optional<ReplicaSnapshot> findSnapshot(Predicate<BoxEvidence> isAccepted) {
     Map<String, String> bootIds = new HashMap<>();
     Map<String, String> loadNames = new HashMap<>();
     for (Box box : generation.boxes()) {
       BoxEvidence evidence = evidenceOf(box);
       BoxReport report = evidence.report();
-      if (report == null || !isGood.test(evidence)) {
+      if (report == null || !isAccepted.test(evidence)) {
         return Optional.empty();
       }
       String load = ownLoad(report);
@@ -289,7 +291,7 @@
         : Optional.of(new ReplicaSnapshot(headLoad, bootIds, loadNames));
   }
 
-  /** Returns the name of this generation's load on a box; of several, the least by name. */
+  /** Returns the load name of this generation on a box; of several, the first by name. */
   private @Nullable String ownLoad(BoxReport report) {
     return report.loads().stream()
         .map(BoxReport.Load::name)
--- a/core/src/main/java/org/shoreroad/replica/ReplicaTiming.java
+++ b/core/src/main/java/org/shoreroad/replica/ReplicaTiming.java
@@ -3,17 +3,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The times of the owner's decisions.
+ * Timeouts and intervals of the owner's decisions.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param evidenceNanos how long a probe's answer counts
- * @param lostNanos how long a box is silent before its generation is dissolved
- * @param loadNanos how long a load may take before the generation is dissolved
- * @param orderNanos how long to wait before an order without visible effect is sent again
- * @param quarantineNanos how long after a dissolving the boxes stay bound at least: longer than a
- *     process may act on what it last read of the log
- * @param drainNanos how long running requests are waited for when a generation ends by plan
+ * @param evidenceNanos the time for which the answer to a probe is valid
+ * @param lostNanos the time without an answer from a box after which its generation is dissolved
+ * @param loadNanos the time for a load after which the generation is dissolved
+ * @param orderNanos the retry interval of an order without visible effect
+ * @param quarantineNanos the minimum time for which the boxes of a dissolved generation stay bound:
+ *     longer than a process may act on the log as it last read it
+ * @param drainNanos the maximum wait for running requests when a generation is dissolved gracefully
  * @since 0.1
  */
 public record ReplicaTiming(
@@ -23,7 +23,7 @@
     long orderNanos,
     long quarantineNanos,
     long drainNanos) {
-  /** Returns the times for these numbers of milliseconds. */
+  /** Creates the timing from times in milliseconds. */
   public static ReplicaTiming ofMs(
       long evidenceMs, long lostMs, long loadMs, long orderMs, long quarantineMs, long drainMs) {
     return new ReplicaTiming(
--- a/core/src/main/java/org/shoreroad/replica/package-info.java
+++ b/core/src/main/java/org/shoreroad/replica/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How the owner of a generation decides: from what its boxes last showed to orders, proposals and
- * whether work may be sent.
+ * Decisions of the owner of a generation: from the last probe results of its boxes to load orders,
+ * proposals for the log, and whether requests may be sent.
  */
 @NullMarked
 package org.shoreroad.replica;
--- a/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
+++ b/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
@@ -25,12 +25,13 @@
 import org.shoreroad.state.StateMachine;
 
 /**
- * Several owners of the same generations, each with its own view of the log, against engines, over
- * a network that delays anything for as long as it likes. One seed gives one run, always the same.
+ * Deterministic simulation of several owners of the same generations. Each owner has its own copy
+ * of the log, and the network between owners and engines delays messages without bound. A seed
+ * determines a run.
  *
- * <p>Every node believes that it owns everything, which is worse than any disagreement about
- * owners. A node may be cut off from the log or paused; what it had decided to send leaves
- * afterwards.
+ * <p>Every node acts as the owner of all generations, which is worse than any disagreement about
+ * owners. A node may lose contact with the log or be paused; messages that it decided to send
+ * before a pause are sent afterwards.
  */
 final class ReplicaSimulation {
   private static final int NODES = 3;
@@ -53,15 +54,15 @@
   private long nowNanos;
   private long nextId;
   private int accepted;
-  private int certified;
+  private int confirmed;
 
   private record Event(long atNanos, Runnable task) {}
 
   private record Run(
       SimNode node,
       long generation,
-      ReplicaController.ReplicaSnapshot wholeness,
-      Set<String> missingSeen) {}
+      ReplicaController.ReplicaSnapshot snapshot,
+      Set<String> missingBoxes) {}
 
   private static final class SimBox {
     private final Box box;
@@ -69,7 +70,7 @@
     private boolean isAlive = true;
     private int boots;
     private long highestFence;
-    private long deafUntilNanos;
+    private long unloadsBlockedUntilNanos;
 
     SimBox(Box box) {
       this.box = box;
@@ -82,7 +83,7 @@
     private long contactNanos;
     private boolean isCutOff;
     private long pausedUntilNanos;
-    private final List<Run> ending = new ArrayList<>();
+    private final List<Run> completed = new ArrayList<>();
 
     boolean isInContact() {
       return nowNanos - contactNanos <= CONTACT_NANOS;
@@ -116,8 +117,8 @@
     return accepted;
   }
 
-  int certifiedRuns() {
-    return certified;
+  int confirmedRuns() {
+    return confirmed;
   }
 
   void run() {
@@ -126,8 +127,8 @@
       while (!events.isEmpty() && events.peek().atNanos <= nowNanos) {
         events.remove().task().run();
       }
-      disturb();
-      deafen();
+      injectFaults();
+      blockUnloads();
       plan();
       for (SimNode node : nodes) {
         if (nowNanos >= node.pausedUntilNanos) {
@@ -146,7 +147,7 @@
     return "r" + nextId++;
   }
 
-  private void disturb() {
+  private void injectFaults() {
     if (random.nextInt(40) == 0) {
       SimBox box = boxes.get("b" + random.nextInt(BOXES));
       box.isAlive = !box.isAlive;
@@ -164,15 +165,16 @@
     }
   }
 
-  /** For a while, a box's engine takes no unload order, as when it is busy. */
-  private void deafen() {
+  /** Makes the engine of a box ignore unload orders for a time, as a busy engine does. */
+  private void blockUnloads() {
     if (random.nextInt(50) == 0) {
       SimBox box = boxes.get("b" + random.nextInt(BOXES));
-      box.deafUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(random.nextInt(15_000));
+      box.unloadsBlockedUntilNanos =
+          nowNanos + TimeUnit.MILLISECONDS.toNanos(random.nextInt(15_000));
     }
   }
 
-  /** Somebody who reads the log plans, and may be late by a record or two. */
+  /** Runs the planner; the later steps of a plan are based on a state that lags by some records. */
   private void plan() {
     if (random.nextInt(4) == 0) {
       List<ListedBox> listed =
@@ -183,7 +185,7 @@
         }
       }
     }
-    // Operators may end a generation at any time.
+    // Operators may dissolve a generation at any time.
     List<Generation> standing = headState.standing();
     if (!standing.isEmpty() && random.nextInt(120) == 0) {
       long number = standing.get(random.nextInt(standing.size())).number();
@@ -211,13 +213,13 @@
       }
       maybeDispatch(node, controller);
     }
-    certify(node);
+    confirm(node);
   }
 
   private void probe(SimNode node, ReplicaController controller) {
     long sentNanos = nowNanos;
     for (Box box : controller.generation().boxes()) {
-      later(
+      schedule(
           node,
           () -> {
             SimBox target = boxes.get(box.name());
@@ -239,21 +241,21 @@
   private void perform(SimNode node, Generation generation, ReplicaAction action) {
     long fence = generation.fencingNumber();
     if (action instanceof ReplicaAction.OrderLoad load) {
-      later(
+      schedule(
           node,
           () -> {
             SimBox box = boxes.get(load.box().name());
-            if (box.isAlive && passes(box, fence)) {
+            if (box.isAlive && passesFence(box, fence)) {
               box.loads.add(load.name().toString());
             }
           });
     } else if (action instanceof ReplicaAction.OrderUnload unload) {
-      later(
+      schedule(
           node,
           () -> {
             SimBox box = boxes.get(unload.box().name());
-            boolean isDeaf = nowNanos < box.deafUntilNanos;
-            if (box.isAlive && !isDeaf && passes(box, fence)) {
+            boolean isBlocked = nowNanos < box.unloadsBlockedUntilNanos;
+            if (box.isAlive && !isBlocked && passesFence(box, fence)) {
               box.loads.remove(unload.loadName());
             }
           });
@@ -264,7 +266,7 @@
     }
   }
 
-  private boolean passes(SimBox box, long fence) {
+  private boolean passesFence(SimBox box, long fence) {
     if (!isFenced) {
       return true;
     }
@@ -280,45 +282,46 @@
     controller
         .findFreshSnapshot(nowNanos)
         .ifPresent(
-            whole -> {
+            snapshot -> {
               Generation generation = controller.generation();
-              later(node, () -> accept(node, generation, whole));
+              schedule(node, () -> accept(node, generation, snapshot));
             });
   }
 
-  private void accept(SimNode node, Generation generation, ReplicaController.ReplicaSnapshot whole) {
+  private void accept(
+      SimNode node, Generation generation, ReplicaController.ReplicaSnapshot snapshot) {
     SimBox head = boxes.get(generation.head().name());
     boolean isRefused = isFenced && generation.fencingNumber() < head.highestFence;
-    if (!head.isAlive || isRefused || !head.loads.contains(whole.headLoadName())) {
+    if (!head.isAlive || isRefused || !head.loads.contains(snapshot.headLoadName())) {
       return;
     }
     accepted++;
     for (Box box : generation.boxes()) {
-      // A box that holds nothing of the generation is missing, not shared: certify looks at that.
+      // A box without a load of the generation is missing, not shared; confirm checks for those.
       Long holder = headState.holderOf(box.name());
       if (holds(boxes.get(box.name()), generation)
           && (holder == null || holder != generation.number())) {
         violations.add(
-            box.name() + " runs generation " + generation.number() + " and belongs to " + holder);
+            box.name() + " runs generation " + generation.number() + " but is bound to " + holder);
       }
     }
-    Run run = new Run(node, generation.number(), whole, new HashSet<>());
-    noteMissing(generation, run);
+    Run run = new Run(node, generation.number(), snapshot, new HashSet<>());
+    recordMissing(generation, run);
     events.add(
         new Event(
             nowNanos + STEP_NANOS * (1 + random.nextInt(10)),
             () -> {
-              noteMissing(generation, run);
-              if (head.isAlive && head.loads.contains(whole.headLoadName())) {
-                node.ending.add(run);
+              recordMissing(generation, run);
+              if (head.isAlive && head.loads.contains(snapshot.headLoadName())) {
+                node.completed.add(run);
               }
             }));
   }
 
-  private void noteMissing(Generation generation, Run run) {
+  private void recordMissing(Generation generation, Run run) {
     for (Box box : generation.boxes()) {
       if (!holds(boxes.get(box.name()), generation)) {
-        run.missingSeen().add(box.name());
+        run.missingBoxes().add(box.name());
       }
     }
   }
@@ -328,10 +331,10 @@
         && box.loads.stream().anyMatch(load -> LoadName.isOf(load, generation.number()));
   }
 
-  /** Asks all boxes anew and passes the end on only if they show what they showed before. */
-  private void certify(SimNode node) {
-    List<Run> runs = new ArrayList<>(node.ending);
-    node.ending.clear();
+  /** Probes all boxes again and confirms a completion only if the snapshot is unchanged. */
+  private void confirm(SimNode node) {
+    List<Run> runs = new ArrayList<>(node.completed);
+    node.completed.clear();
     for (Run run : runs) {
       ReplicaController controller = node.controllers.get(run.generation());
       probe(node, controller);
@@ -340,18 +343,19 @@
           new Event(
               nowNanos + 3 * STEP_NANOS,
               () -> {
-                if (controller.isUnchangedSince(run.wholeness(), sinceNanos)) {
-                  certified++;
-                  if (!run.missingSeen().isEmpty()) {
-                    violations.add("answered whole while " + run.missingSeen() + " was missing");
+                if (controller.isUnchangedSince(run.snapshot(), sinceNanos)) {
+                  confirmed++;
+                  if (!run.missingBoxes().isEmpty()) {
+                    violations.add(
+                        "completion confirmed while " + run.missingBoxes() + " was missing");
                   }
                 }
               }));
     }
   }
 
-  /** Something leaves the node: mostly soon, now and then after a pause beyond every limit. */
-  private void later(SimNode node, Runnable task) {
+  /** Schedules a message of a node: mostly soon, sometimes after a delay beyond every timeout. */
+  private void schedule(SimNode node, Runnable task) {
     long delayNanos =
         random.nextInt(60) == 0
             ? TimeUnit.MILLISECONDS.toNanos(random.nextInt(9_000))
--- a/core/src/test/java/org/shoreroad/replica/ReplicaSimulationTest.java
+++ b/core/src/test/java/org/shoreroad/replica/ReplicaSimulationTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No box serves two replicas, and no answer is whole without its boxes, whatever the network. */
+/**
+ * Checks that no box serves two replicas, and that no answer is completed while one of its boxes is
+ * missing, whatever the delays and faults.
+ */
 class ReplicaSimulationTest {
   private static final int SEEDS = 300;
   private static final ReplicaTiming SAFE =
@@ -22,31 +25,31 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void testRun_keepsBoxesApart(boolean isFenced) {
+  void testRun_neverSharesABoxBetweenReplicas(boolean isFenced) {
     int accepted = 0;
-    int certified = 0;
+    int confirmed = 0;
     List<String> violations = new ArrayList<>();
     for (int seed = 0; seed < SEEDS; seed++) {
       ReplicaSimulation simulation = new ReplicaSimulation(seed, isFenced, SAFE, true);
       simulation.run();
       accepted += simulation.acceptedRuns();
-      certified += simulation.certifiedRuns();
+      confirmed += simulation.confirmedRuns();
       for (String violation : simulation.violations()) {
         violations.add("seed " + seed + ": " + violation);
       }
     }
     assertThat(violations, is(empty()));
     assertThat(accepted, greaterThan(SEEDS * 10));
-    assertThat(certified, greaterThan(SEEDS * 5));
+    assertThat(confirmed, greaterThan(SEEDS * 5));
   }
 
   @Test
-  void testRun_withoutQuarantineIsFound() {
+  void testRun_detectsAMissingQuarantine() {
     assertThat(findViolations(NO_QUARANTINE, true), is(not(empty())));
   }
 
   @Test
-  void testRun_withRepeatedOrderNumbersIsFound() {
+  void testRun_detectsRepeatedOrderNumbers() {
     assertThat(findViolations(SAFE, false), is(not(empty())));
   }
 
