--- a/core/src/main/java/org/shoreroad/placement/PlanStep.java
+++ b/core/src/main/java/org/shoreroad/placement/PlanStep.java
@@ -5,7 +5,7 @@
 import org.shoreroad.state.DissolveReason;
 
 /**
- * One change that the planner wants.
+ * Step of a plan.
  *
  * <p>Implementations are immutable and thread-safe.
  *
@@ -13,7 +13,7 @@
  */
 public sealed interface PlanStep {
   /**
-   * Form a replica.
+   * Forms a replica.
    *
    * @param model the model
    * @param boxes the boxes, head first
@@ -26,10 +26,10 @@
   }
 
   /**
-   * Dissolve a generation.
+   * Dissolves a generation.
    *
-   * @param generation its number
-   * @param reason why
+   * @param generation the number of the generation
+   * @param reason the reason
    */
   record Dissolve(long generation, DissolveReason reason) implements PlanStep {}
 }
--- a/core/src/main/java/org/shoreroad/placement/Planner.java
+++ b/core/src/main/java/org/shoreroad/placement/Planner.java
@@ -22,10 +22,11 @@
 /**
  * Plans which replicas to dissolve and which to form.
  *
- * <p>The plan is a pure function of the applied state and the platform's list. What stands and is
- * wanted is never touched, so a plan moves nothing that it need not. Where several fabric domains
- * could take a replica, the operators' weight decides between leaving a spare for repairs there
- * (less group downtime) and leaving no box that can't form a replica (fewer stranded accelerators).
+ * <p>The plan is a pure function of the applied state and the platform's list of boxes. A standing
+ * replica that is still wanted is never dissolved or moved. If several fabric domains have room for
+ * a replica, a weight set by operators decides between leaving a spare box for repairs in the
+ * domain (less group downtime) and leaving no box that can't form a replica (fewer stranded
+ * accelerators).
  *
  * <p>All methods are thread-safe.
  *
@@ -37,28 +38,29 @@
   private Planner() {}
 
   /**
-   * Returns the steps that lead from what stands to what is wanted.
+   * Returns the steps from the standing replicas to the wanted ones.
    *
    * @param state the applied state, not null
-   * @param listed the platform's list, not null
-   * @return the steps: dissolvings first, then formings
+   * @param listed the boxes in the platform's list, not null
+   * @return the steps in this order: replicas to dissolve, replicas to form, standby replicas to
+   *     dissolve for other models
    */
   public static List<PlanStep> plan(ClusterState state, Collection<ListedBox> listed) {
     List<PlanStep> steps = new ArrayList<>();
-    // What stands and should not.
+    // Replicas to dissolve.
     Set<String> leaving =
         listed.stream()
             .filter(ListedBox::isLeaving)
             .map(b -> b.box().name())
             .collect(Collectors.toSet());
     Map<String, Integer> standing = planDissolving(state, leaving, steps);
-    // What is wanted and does not stand, the model that lacks most first.
+    // Replicas to form, first of the model with the smallest part of its replicas standing.
     FreeBoxes free = FreeBoxes.of(state, listed);
     List<ModelSpec> models = new ArrayList<>(state.configuration().all(ModelSpec.class));
     while (true) {
       Optional<PlanStep.Form> form = planNext(state, models, standing, free);
       if (form.isEmpty()) {
-        planYielding(state, models, standing, steps);
+        planStandbyRelease(state, models, standing, steps);
         return steps;
       }
       steps.add(form.get());
@@ -102,8 +104,8 @@
     return null;
   }
 
-  /** Ends one replica on standby for each model that lacks one and could use its boxes. */
-  private static void planYielding(
+  /** Dissolves a standby replica for each model that lacks a replica and can use its boxes. */
+  private static void planStandbyRelease(
       ClusterState state,
       List<ModelSpec> models,
       Map<String, Integer> standing,
@@ -171,7 +173,7 @@
         : Optional.of(new PlanStep.Form(model.name(), best.subList(0, model.boxesPerReplica())));
   }
 
-  /** Rates taking one replica's boxes out of a domain that has this many free. */
+  /** Returns the score of forming a replica in a domain with this many free boxes. */
   private static double score(int freeCount, int perReplica, int downtimeWeightPercent) {
     int left = freeCount - perReplica;
     int strandedAfter = left % perReplica;
@@ -181,7 +183,7 @@
     return weight * repairs - (1 - weight) * stranded;
   }
 
-  /** The free boxes by fabric domain, in a fixed order. */
+  /** Free boxes by fabric domain, in a fixed order. */
   private static final class FreeBoxes {
     private final Map<String, TreeMap<String, Box>> byDomain = new TreeMap<>();
 
@@ -200,7 +202,7 @@
       return free;
     }
 
-    /** Returns, for each place a replica may lie in, the free boxes selected there. */
+    /** Returns the free boxes that the model selects, in groups within which a replica may lie. */
     List<List<Box>> eligible(Configuration configuration, ModelSpec model) {
       List<List<Box>> groups = new ArrayList<>();
       for (TreeMap<String, Box> domain : byDomain.values()) {
@@ -224,7 +226,7 @@
     }
   }
 
-  /** Returns the names of the models whose replicas do not all stand. */
+  /** Returns the names of the models with fewer standing replicas than configured. */
   public static Set<String> findLacking(ClusterState state) {
     Set<String> lacking = new TreeSet<>();
     for (ModelSpec model : state.configuration().all(ModelSpec.class)) {
--- a/core/src/main/java/org/shoreroad/placement/package-info.java
+++ b/core/src/main/java/org/shoreroad/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Which boxes form which replica: a pure function from what is declared and listed to changes. */
+/** Placement of replicas on boxes, computed from the configuration and the list of boxes. */
 @NullMarked
 package org.shoreroad.placement;
 
--- a/core/src/test/java/org/shoreroad/placement/PlannerTest.java
+++ b/core/src/test/java/org/shoreroad/placement/PlannerTest.java
@@ -22,7 +22,7 @@
 import org.shoreroad.state.LogRecord;
 import org.shoreroad.state.StateMachine;
 
-/** What the planner plans is taken by the log, is enough, and moves nothing that need not move. */
+/** Checks that the log accepts every plan, and that plans are complete and move no replica. */
 class PlannerTest {
   private static final Map<String, String> LABEL = Map.of("engine", "m");
 
@@ -48,7 +48,7 @@
         .state();
   }
 
-  private static ClusterState take(ClusterState state, List<PlanStep> steps) {
+  private static ClusterState applyAll(ClusterState state, List<PlanStep> steps) {
     ClusterState now = state;
     for (PlanStep step : steps) {
       long offset = now.appliedOffset() + 1;
@@ -67,14 +67,14 @@
   }
 
   @Property(tries = 200, seed = "7")
-  void testPlan_isTakenAndThenNothingIsLeftToDo(@ForAll long seed) {
+  void testPlan_isAcceptedAndCompleteAndDissolvesOnlyForLeavingBoxes(@ForAll long seed) {
     Random random = new Random(seed);
     List<ListedBox> boxes =
         boxes(random.nextInt(10), random.nextInt(10), random.nextInt(10), random.nextInt(10));
     ClusterState state = state(boxes, random.nextInt(9), random.nextInt(101));
-    state = take(state, Planner.plan(state, boxes));
+    state = applyAll(state, Planner.plan(state, boxes));
     assertThat(Planner.plan(state, boxes), is(empty()));
-    // Some boxes are about to leave: only their replicas are touched.
+    // Some boxes are leaving: only their replicas are dissolved.
     List<ListedBox> leaving =
         boxes.stream().map(b -> new ListedBox(b.box(), random.nextInt(8) == 0)).toList();
     for (PlanStep step : Planner.plan(state, leaving)) {
@@ -82,12 +82,12 @@
         assertThat(dissolve.reason(), is(DissolveReason.BOX_LEAVING));
       }
     }
-    state = take(state, Planner.plan(state, leaving));
+    state = applyAll(state, Planner.plan(state, leaving));
     assertThat(Planner.plan(state, leaving), is(empty()));
   }
 
   @Test
-  void testPlan_weightChoosesBetweenSpareAndNoFragment() {
+  void testPlan_weightDecidesBetweenSpareAndStrandedBoxes() {
     List<ListedBox> boxes = boxes(4, 5);
     PlanStep forDowntime = Planner.plan(state(boxes, 1, 100), boxes).get(0);
     PlanStep forStranded = Planner.plan(state(boxes, 1, 0), boxes).get(0);
@@ -96,14 +96,14 @@
   }
 
   @Test
-  void testPlan_standbyIsKeptForDowntimeAndYieldsToAnotherModel() {
+  void testPlan_standbyReplicaIsDissolvedForAnotherModel() {
     List<ListedBox> boxes = boxes(4, 4);
     ClusterState two = state(boxes, 1, 100);
-    two = take(two, Planner.plan(two, boxes));
+    two = applyAll(two, Planner.plan(two, boxes));
     assertThat(two.standing("m").size(), is(2));
     ClusterState one = state(boxes, 1, 0);
-    assertThat(take(one, Planner.plan(one, boxes)).standing("m").size(), is(1));
-    // Another model that lacks its replica gets the boxes of the one on standby.
+    assertThat(applyAll(one, Planner.plan(one, boxes)).standing("m").size(), is(1));
+    // Another model that lacks a replica gets the boxes of the standby replica.
     ModelSpec other = new ModelSpec("other", "1", 4, 1, true, LABEL, 1, 1);
     ConfigChange change = new ConfigChange(List.of(other), List.of());
     two =
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void testPlan_passesOverUnselectedBoxes() {
+  void testPlan_doesNotUseUnselectedBoxes() {
     List<ListedBox> boxes = boxes(5);
     ClusterState state = state(boxes.subList(0, 3), 1, 50);
     assertThat(Planner.plan(state, boxes), is(empty()));
