--- a/core/src/main/java/org/shoreroad/traffic/CallerLimits.java
+++ b/core/src/main/java/org/shoreroad/traffic/CallerLimits.java
@@ -1,18 +1,18 @@
 package org.shoreroad.traffic;
 
 /**
- * What a caller may send, and how long it may take.
+ * Limits of the sizes and times of requests from callers.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param maxHeaderBytes the largest head of a request, in bytes
- * @param maxBodyBytes the largest body of a request, in bytes
- * @param headerTimeoutMs the longest time for a head to arrive, in milliseconds
- * @param idleTimeoutMs the longest rest of a connection between two requests, in milliseconds
+ * @param maxHeaderBytes the maximum size of the head of a request, in bytes
+ * @param maxBodyBytes the maximum size of the body of a request, in bytes
+ * @param headerTimeoutMs the maximum time to receive a head, in milliseconds
+ * @param idleTimeoutMs the maximum idle time of a connection between requests, in milliseconds
  * @since 0.2
  */
 public record CallerLimits(
     int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMs, int idleTimeoutMs) {
-  /** What holds until a configuration is known: the middle of what sites use. */
+  /** Limits until the first configuration is read, in the middle of the range that sites use. */
   public static final CallerLimits DEFAULT = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/core/src/main/java/org/shoreroad/traffic/ClientAccount.java
+++ b/core/src/main/java/org/shoreroad/traffic/ClientAccount.java
@@ -4,17 +4,18 @@
 import java.util.Set;
 
 /**
- * A client account with the keys its callers show.
+ * Client account with the keys of its callers.
  *
  * <p>This class is immutable and thread-safe. Its text form leaves the keys out.
  *
- * @param name the account's name, not null
- * @param keys the keys in force
- * @param priority the rank of its requests, which goes before the route's, or -1 for the route's
+ * @param name the name of the account, not null
+ * @param keys the valid keys
+ * @param priority the priority of its requests, which overrides the route's, or {@link
+ *     #NO_PRIORITY} for the route's
  * @since 0.2
  */
 public record ClientAccount(String name, Set<String> keys, int priority) {
-  /** Stands for an account that leaves the rank to the route. */
+  /** Value for an account whose requests have the priority of the route. */
   public static final int NO_PRIORITY = -1;
 
   /** Copies the keys. */
--- a/core/src/main/java/org/shoreroad/traffic/RequestKind.java
+++ b/core/src/main/java/org/shoreroad/traffic/RequestKind.java
@@ -1,7 +1,7 @@
 package org.shoreroad.traffic;
 
 /**
- * Says how often a request may run and what its answer is made of.
+ * Kind of a request: how often it may run, and whether its answer is a stream.
  *
  * <p>This enum is immutable and thread-safe.
  *
@@ -12,6 +12,6 @@
   REPEATABLE,
   /** May run at most once; the answer is one body. */
   ONCE,
-  /** The answer is a stream of events; runs at most once unless its route lets it be resumed. */
+  /** May run at most once, unless its route is resumable; the answer is a stream of events. */
   STREAM
 }
--- a/core/src/main/java/org/shoreroad/traffic/Route.java
+++ b/core/src/main/java/org/shoreroad/traffic/Route.java
@@ -4,22 +4,22 @@
 import java.util.Objects;
 
 /**
- * Sends the requests for one host and path prefix to one or several services.
+ * Rule that assigns the requests for one host and path prefix to one or several services.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param name the route's name, not null
- * @param host the host as callers name it, in lower case, without a port
- * @param pathPrefix the beginning of the paths, with a slash at both ends
+ * @param host the host name in requests, in lower case, without a port
+ * @param pathPrefix the prefix of the paths, with a slash at both ends
  * @param kind how often a request may run, not null
- * @param timeoutMs the longest time a request is held, in milliseconds, positive
- * @param targetLatencyMs the time within which an answer is wanted, in milliseconds
- * @param targetGapMs the longest wanted pause between events, in milliseconds, 0 for none
- * @param priority the rank, 0 is the most urgent
+ * @param timeoutMs the maximum time of a request, in milliseconds, positive
+ * @param targetLatencyMs the target for the response time, in milliseconds
+ * @param targetGapMs the target for the time between stream events, in milliseconds, 0 for none
+ * @param priority the priority, 0 is the most urgent
  * @param shares the services, at least one
- * @param maxAttempts the most upstreams that one request may be sent to, at least 1
- * @param allowsAnonymous true if no key is asked for
- * @param isResumable true if a broken stream may be taken up at another upstream
+ * @param maxAttempts the maximum number of upstreams that a request is sent to, at least 1
+ * @param allowsAnonymous true if callers need no key
+ * @param isResumable true if a broken stream may be resumed at another upstream
  * @since 0.2
  */
 public record Route(
@@ -44,7 +44,8 @@
       throw new IllegalArgumentException("route " + name + " has no service");
     }
     if (timeoutMs <= 0 || maxAttempts < 1) {
-      throw new IllegalArgumentException("route " + name + " has no time or no attempt");
+      throw new IllegalArgumentException(
+          "route " + name + " has no positive timeout or no attempt");
     }
   }
 
@@ -54,10 +55,10 @@
   }
 
   /**
-   * Returns the service for a request.
+   * Chooses the service for a request, at random by weight.
    *
-   * @param draw a number drawn evenly from 0 (inclusive) to 1 (exclusive)
-   * @return the name of the service that the draw falls on
+   * @param draw a uniformly distributed random number from 0 (inclusive) to 1 (exclusive)
+   * @return the name of the service
    */
   public String chooseService(double draw) {
     int total = shares.stream().mapToInt(ServiceShare::weight).sum();
--- a/core/src/main/java/org/shoreroad/traffic/ServiceShare.java
+++ b/core/src/main/java/org/shoreroad/traffic/ServiceShare.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * The part of a route's requests that goes to one service.
+ * Share of a route's requests that one service receives.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param service the name of the service, not null
- * @param weight the part, relative to the other shares of the route, not negative
+ * @param weight the weight relative to the other shares of the route, not negative
  * @since 0.2
  */
 public record ServiceShare(String service, int weight) {
-  /** Checks the parts. */
+  /** Checks the service and the weight. */
   public ServiceShare {
     Objects.requireNonNull(service, "service");
     if (weight < 0) {
--- a/core/src/main/java/org/shoreroad/traffic/TrafficConfig.java
+++ b/core/src/main/java/org/shoreroad/traffic/TrafficConfig.java
@@ -11,9 +11,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One version of what operators declare: routes, services, accounts and limits.
+ * Configuration by operators in one version: routes, services, accounts and limits.
  *
- * <p>A new version replaces the old one whole. This class is immutable and thread-safe.
+ * <p>A new version replaces the old one completely. This class is immutable and thread-safe.
  *
  * @since 0.2
  */
@@ -43,13 +43,13 @@
   }
 
   /**
-   * Returns a configuration.
+   * Creates a configuration.
    *
-   * @param version its number, rising with each change
+   * @param version the number of the version, which increases with each change
    * @param routes the routes, not null
    * @param services the services, not null
-   * @param accounts the accounts, or null if callers show no keys at all
-   * @param limits the limits of callers, not null
+   * @param accounts the accounts, or null if callers need no keys
+   * @param limits the limits for callers, not null
    * @return the configuration
    */
   public static TrafficConfig of(
@@ -73,7 +73,7 @@
     return version;
   }
 
-  /** Returns the limits of callers. */
+  /** Returns the limits for callers. */
   public CallerLimits limits() {
     return limits;
   }
@@ -83,15 +83,15 @@
     return services.values();
   }
 
-  /** Returns the service of the name, or empty if there is none. */
+  /** Returns the service with the name, or empty if there is none. */
   public Optional<UpstreamService> findService(String name) {
     return Optional.ofNullable(services.get(name));
   }
 
   /**
-   * Returns the route with the longest prefix that begins the path.
+   * Returns the route with the longest matching path prefix.
    *
-   * @param host the host the caller named, with or without a port, in any case
+   * @param host the host name in the request, with or without a port, in any case
    * @param path the path, with or without a query
    * @return the route, or empty if none matches
    */
@@ -100,12 +100,12 @@
     return candidates.stream().filter(route -> path.startsWith(route.pathPrefix())).findFirst();
   }
 
-  /** Returns true if callers must show the key of an account. */
+  /** Returns true if callers must send the key of an account. */
   public boolean hasAccounts() {
     return hasAccounts;
   }
 
-  /** Returns the account that holds the key, or empty if none does. */
+  /** Returns the account with the key, or empty if there is none. */
   public Optional<ClientAccount> findAccount(String key) {
     return Optional.ofNullable(accountsByKey.get(key));
   }
--- a/core/src/main/java/org/shoreroad/traffic/package-info.java
+++ b/core/src/main/java/org/shoreroad/traffic/package-info.java
@@ -1,4 +1,7 @@
-/** Routes, services, accounts and limits by which opaque HTTP requests are admitted and routed. */
+/**
+ * Configuration for admission and routing of opaque HTTP requests: routes, services, accounts and
+ * limits.
+ */
 @NullMarked
 package org.shoreroad.traffic;
 
--- a/core/src/test/java/org/shoreroad/traffic/TrafficConfigTest.java
+++ b/core/src/test/java/org/shoreroad/traffic/TrafficConfigTest.java
@@ -47,19 +47,19 @@
   }
 
   @Test
-  void theHostIsTakenWithoutPortAndCase() {
+  void theHostIsMatchedWithoutPortAndCase() {
     assertThat(config.findRoute("TWO.example:80", "/x").map(Route::name), is(Optional.of("other")));
   }
 
   @Test
-  void nothingMatchesAnotherHostOrPath() {
+  void noRouteMatchesAnotherHostOrPath() {
     assertThat(config.findRoute("three.example", "/p/q/"), is(Optional.empty()));
     assertThat(config.findRoute("one.example", "/other/"), is(Optional.empty()));
     assertThat(config.findRoute("one.example", "/p"), is(Optional.empty()));
   }
 
   @Test
-  void accountsAreFoundByKeyAndHideIt() {
+  void accountsAreFoundByKeyAndOmitItFromTheirTextForm() {
     ClientAccount account = config.findAccount("key-1").orElseThrow();
     assertThat(account.name(), is("office"));
     assertThat(account.toString(), not(containsString("key-1")));
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void sharesFollowTheirWeights() {
+  void servicesAreChosenByWeight() {
     Route split = route("r", "h", "/");
     assertThat(split.chooseService(0), is("a"));
     assertThat(split.chooseService(0.899), is("a"));
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aRouteWithoutServiceOrTimeIsRefused() {
+  void aRouteWithoutServiceOrTimeoutIsRejected() {
     assertThrows(
         IllegalArgumentException.class,
         () -> new Route("r", "h", "/", RequestKind.ONCE, 1, 1, 0, 0, List.of(), 1, false, false));
