--- a/core/src/main/java/org/shoreroad/limit/LimitedUpstream.java
+++ b/core/src/main/java/org/shoreroad/limit/LimitedUpstream.java
@@ -74,7 +74,7 @@
     int holders = (int) Math.max(1, Math.min(sharers.size(), Math.round(perSecond)));
     long intervalNanos = (long) (TimeUnit.SECONDS.toNanos(1) * holders / perSecond);
     boolean wasHolder = isHolder;
-    isHolder = !sharers.isEmpty() && Rendezvous.placeOf(self, upstream.id(), sharers) < holders;
+    isHolder = !sharers.isEmpty() && Rendezvous.positionOf(self, upstream.id(), sharers) < holders;
     if (pacer == null) {
       pacer = new TurnPacer(intervalNanos, nowNanos);
     }
--- a/core/src/main/java/org/shoreroad/routing/Rendezvous.java
+++ b/core/src/main/java/org/shoreroad/routing/Rendezvous.java
@@ -63,7 +63,7 @@
    * @param key the key, not null
    * @param names the ranked names, not null; they may or may not include the name itself
    */
-  public static int placeOf(String name, String key, Collection<String> names) {
+  public static int positionOf(String name, String key, Collection<String> names) {
     Scored<String> own = new Scored<>(name, name, score(key, name));
     return (int)
         scoreAll(key, names, other -> other)
--- a/core/src/test/java/org/shoreroad/routing/RendezvousTest.java
+++ b/core/src/test/java/org/shoreroad/routing/RendezvousTest.java
@@ -18,7 +18,7 @@
     for (String key : List.of("reader", "llm/d0", "llm/d1")) {
       List<String> ranking = Rendezvous.rank(key, names, name -> name);
       for (String name : names) {
-        assertThat(Rendezvous.placeOf(name, key, names), is(ranking.indexOf(name)));
+        assertThat(Rendezvous.positionOf(name, key, names), is(ranking.indexOf(name)));
       }
     }
   }
@@ -28,6 +28,6 @@
     List<String> others = List.of("a", "b", "c", "d");
     List<String> all = List.of("a", "b", "c", "d", "me");
     int position = Rendezvous.rank("key", all, name -> name).indexOf("me");
-    assertThat(Rendezvous.placeOf("me", "key", others), is(position));
+    assertThat(Rendezvous.positionOf("me", "key", others), is(position));
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -398,7 +398,7 @@
     names.add(self.name());
     Scope scope = plan.isFullMesh() ? Scope.SELF : Scope.HUB;
     heard(scope, Peer.ALIVE_NANOS).forEach(peer -> names.add(peer.name()));
-    isReader = !isMember() && Rendezvous.placeOf(self.name(), READER_KEY, names) < READERS;
+    isReader = !isMember() && Rendezvous.positionOf(self.name(), READER_KEY, names) < READERS;
   }
 
   private @Nullable Peer ownHub() {
