--- a/core/src/main/java/org/shoreroad/limit/LimitedUpstream.java
+++ b/core/src/main/java/org/shoreroad/limit/LimitedUpstream.java
@@ -17,7 +17,7 @@
  */
 final class LimitedUpstream {
   /** Rate used for a limit of 0: without any request, the end of the limit would not be noticed. */
-  private static final double LEAST_PER_SECOND = 0.1;
+  private static final double MIN_PER_SECOND = 0.1;
 
   private final Incarnation upstream;
   private @Nullable RequestLimit limit;
@@ -70,7 +70,7 @@
     if (currentLimit == null) {
       return;
     }
-    double perSecond = Math.max(LEAST_PER_SECOND, currentLimit.perSecond());
+    double perSecond = Math.max(MIN_PER_SECOND, currentLimit.perSecond());
     int holders = (int) Math.max(1, Math.min(sharers.size(), Math.round(perSecond)));
     long intervalNanos = (long) (TimeUnit.SECONDS.toNanos(1) * holders / perSecond);
     boolean wasHolder = isHolder;
