--- a/core/src/test/java/org/shoreroad/quarantine/CrashQuarantineTest.java
+++ b/core/src/test/java/org/shoreroad/quarantine/CrashQuarantineTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void threeUpstreamsThatEndWhileTheyRunItAreTheEvidence() {
+  void threeCrashesOfUpstreamsThatRanTheRequestQuarantineIt() {
     assertThat(quarantine.recordCrash(REQUEST, running("i-1"), 0), is(false));
     assertThat(quarantine.recordCrash(REQUEST, running("i-2"), 0), is(false));
     assertThat(quarantine.recordCrash(REQUEST, running("i-3"), 0), is(true));
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aRequestThatMayOnlyHaveWaitedNeedsTwiceAsMany() {
+  void aRequestThatMayOnlyHaveWaitedNeedsTwiceAsManyCrashes() {
     for (int i = 0; i < 5; i++) {
       assertThat(quarantine.recordCrash(REQUEST, waiting("i-" + i), 0), is(false));
     }
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void manyReturnsAtOneUpstreamThatEndsCountOnce() {
+  void manyCrashesOfOneIncarnationCountOnce() {
     for (int i = 0; i < 9; i++) {
       quarantine.recordCrash(REQUEST, running("i-1"), 0);
     }
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void anUpstreamThatStartedAgainUnderItsIdCountsAnew() {
+  void eachIncarnationOfAnUpstreamCounts() {
     for (int bornMs = 1; bornMs <= 3; bornMs++) {
       quarantine.recordCrash(REQUEST, new Crash(new Incarnation("i-1", bornMs), true), 0);
     }
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aWholeAnswerRefutesTheCrashesBeforeItAndNoLaterOnes() {
+  void aCompleteAnswerRefutesOnlyTheCrashesBeforeIt() {
     crash(quarantine, 2, 0);
     quarantine.recordAnswer(REQUEST, 0);
     assertThat(quarantine.recordCrash(REQUEST, running("j-1"), 0), is(false));
@@ -81,41 +81,41 @@
     quarantine.recordCrash(REQUEST, running("i-1"), 0);
     other.recordCrash(REQUEST, running("i-2"), 0);
     other.recordCrash(REQUEST, running("i-1"), 0);
-    quarantine.learn(other.reports(0), 0);
-    other.learn(quarantine.reports(0), 0);
+    quarantine.applyReports(other.reports(0), 0);
+    other.applyReports(quarantine.reports(0), 0);
     assertThat(other.isQuarantined(REQUEST, 0), is(false));
     quarantine.recordCrash(REQUEST, running("i-3"), 0);
-    assertThat(other.learn(quarantine.reports(0), 0), is(Set.of(REQUEST)));
-    assertThat(other.learn(quarantine.reports(0), 0), is(Set.of()));
+    assertThat(other.applyReports(quarantine.reports(0), 0), is(Set.of(REQUEST)));
+    assertThat(other.applyReports(quarantine.reports(0), 0), is(Set.of()));
     assertThat(other.isQuarantined(REQUEST, 0), is(true));
   }
 
   @Test
-  void aRefutationThatAPeerMissedIsNotUndoneByItsReport() {
+  void aReportOfAPeerThatMissedARefutationDoesNotUndoIt() {
     CrashQuarantine other = new CrashQuarantine();
     crash(quarantine, 2, 0);
-    other.learn(quarantine.reports(0), 0);
+    other.applyReports(quarantine.reports(0), 0);
     quarantine.recordAnswer(REQUEST, 0);
-    quarantine.learn(other.reports(0), 0);
+    quarantine.applyReports(other.reports(0), 0);
     quarantine.recordCrash(REQUEST, running("j-1"), 0);
     assertThat(quarantine.isQuarantined(REQUEST, 0), is(false));
-    other.learn(quarantine.reports(0), 0);
+    other.applyReports(quarantine.reports(0), 0);
     assertThat(other.recordCrash(REQUEST, running("j-2"), 0), is(false));
   }
 
   @Test
-  void aProcessThatStartsLaterIsToldWhatIsQuarantinedButNotOldCrashes() {
+  void aProcessThatStartsLaterGetsTheQuarantinedRequestsButNotOldCrashes() {
     crash(quarantine, 3, 0);
     quarantine.recordCrash(new RequestFingerprint(3, 3), running("i-1"), 0);
     List<CrashReport> reports = quarantine.reports(LATER_NANOS);
     assertThat(reports.size(), is(1));
     CrashQuarantine started = new CrashQuarantine();
-    started.learn(reports, 0);
+    started.applyReports(reports, 0);
     assertThat(started.isQuarantined(REQUEST, 0), is(true));
   }
 
   @Test
-  void allQuarantinedRequestsAreToldInTurn() {
+  void allQuarantinedRequestsAreReportedInRotation() {
     int count = 100;
     for (int i = 0; i < count; i++) {
       for (int j = 0; j < 3; j++) {
@@ -126,13 +126,13 @@
     for (int i = 0; i < 4; i++) {
       List<CrashReport> reports = quarantine.reports(LATER_NANOS);
       assertThat(reports.size(), lessThanOrEqualTo(48));
-      started.learn(reports, 0);
+      started.applyReports(reports, 0);
     }
     assertThat(started.quarantinedCount(0), is(count));
   }
 
   @Test
-  void ofManyNewOnesThoseWithTheMostCrashesAreTold() {
+  void requestsWithTheMostCrashesAreReportedFirst() {
     for (int i = 0; i < 100; i++) {
       quarantine.recordCrash(new RequestFingerprint(i, 0), waiting("i-1"), 0);
     }
@@ -142,12 +142,12 @@
   }
 
   @Test
-  void aQuarantineLastsWhileTheRequestReturnsAndEndsEverywhere() {
+  void aQuarantineLastsWhileTheRequestIsSentAndThenEndsAtAllProcesses() {
     CrashQuarantine other = new CrashQuarantine();
     crash(quarantine, 3, 0);
     long nineMinutes = TimeUnit.MINUTES.toNanos(9);
     assertThat(quarantine.recordArrival(REQUEST, nineMinutes), is(true));
-    other.learn(quarantine.reports(nineMinutes + SECOND_NANOS), nineMinutes + SECOND_NANOS);
+    other.applyReports(quarantine.reports(nineMinutes + SECOND_NANOS), nineMinutes + SECOND_NANOS);
     long eighteenMinutes = 2 * nineMinutes;
     assertThat(quarantine.isQuarantined(REQUEST, eighteenMinutes), is(true));
     assertThat(other.isQuarantined(REQUEST, eighteenMinutes), is(true));
@@ -159,17 +159,18 @@
   }
 
   @Test
-  void anExpiredReportBringsNothingBack() {
+  void anExpiredReportIsIgnored() {
     crash(quarantine, 3, 0);
     CrashReport report = quarantine.reports(0).get(0);
     long keepMs = TimeUnit.NANOSECONDS.toMillis(CrashQuarantine.KEEP_NANOS);
     CrashQuarantine other = new CrashQuarantine();
-    other.learn(List.of(new CrashReport(REQUEST, report.crashes(), report.refuted(), keepMs)), 0);
+    other.applyReports(
+        List.of(new CrashReport(REQUEST, report.crashes(), report.refuted(), keepMs)), 0);
     assertThat(other.isEmpty(), is(true));
   }
 
   @Test
-  void whatIsKeptIsBoundedAndTheQuarantinedStay() {
+  void theNumberOfHistoriesIsBoundedAndQuarantinedOnesAreKept() {
     crash(quarantine, 3, 0);
     for (int i = 0; i < 2 * CrashQuarantine.MAX_REQUESTS; i++) {
       quarantine.recordCrash(new RequestFingerprint(9, i), running("i-1"), SECOND_NANOS);
