--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -259,12 +259,12 @@
     // Without hubs each process reads the configuration itself. A change must be in force within
     // two seconds; with three readers for all, which the store may turn away, one came later in
     // four of thirteen runs with 7 and 9 processes.
-    configFollower.spareWhile(mesh::isMember, TOLD_CONFIG_PROOF_MS);
+    configFollower.readThroughPeersWhile(mesh::isMember, TOLD_CONFIG_PROOF_MS);
     configFollower.spreadListings(() -> random.nextInt(LISTING_SPREAD_MS));
     listFollower.spreadListings(() -> random.nextInt(LISTING_SPREAD_MS));
     processFollower.spreadListings(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
     ports.storeEra().addListener(this::noteEra);
-    listFollower.spareWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
+    listFollower.readThroughPeersWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
     leases.setChangeListener(mesh::hurry);
     replicas.setUrgentChangeListener(mesh::hurry);
     stalls.setSuspicionListener(
--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -98,7 +98,7 @@
    * @param isTold true while peers read for this process, not null
    * @param proofMs the maximum age of their proof that no change was missed, in milliseconds
    */
-  public void spareWhile(BooleanSupplier isTold, int proofMs) {
+  public void readThroughPeersWhile(BooleanSupplier isTold, int proofMs) {
     isSpared = isTold;
     toldProofNanos = TimeUnit.MILLISECONDS.toNanos(proofMs);
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
@@ -120,7 +120,7 @@
   @Test
   void whomPeersTellDoesNotReadItself() {
     store.put("a", "1");
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     int calls = store.calls().size();
     byte[] two = {'2'};
@@ -137,7 +137,7 @@
   @Test
   void whenPeersCeaseToTellItReadsItself() {
     store.put("a", "1");
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     follower.takeOver(told(1, 1), nowNanos);
     int calls = store.calls().size();
@@ -151,7 +151,7 @@
   @Test
   void anOldProofByPeersIsNotReliedOn() {
     store.put("a", "1");
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     int calls = store.calls().size();
     long firstNanos = nowNanos;
@@ -165,7 +165,7 @@
   @Test
   void aReaderThatTheStoreTurnsAwayDoesNotHideThatOthersReachIt() {
     store.put("a", "1");
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     follower.takeOver(told(1, 1), nowNanos);
     follower.takeOver(
@@ -211,7 +211,7 @@
   @Test
   void whatAPeerHasReadIsNoProof() {
     store.put("a", "1");
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     int calls = store.calls().size();
     long provenNanos = follower.provenNanos();
@@ -236,7 +236,7 @@
   @Test
   void aPeerThatKnowsOfMoreMakesItRead() {
     store.put("a", "1");
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     follower.proveByPeer(StorePosition.of(1, 1), nowNanos);
     store.put("b", "2");
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -57,7 +57,7 @@
   @Test
   void recordsAtOffsetsAssignedAgainAreReadByThoseWhomPeersTell() {
     put(3);
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     store.goBack(2);
     store.put("b", "leaving");
@@ -97,7 +97,7 @@
   @Test
   void aProofOfALaterEraMakesItListAnew() {
     put(3);
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     store.goBack(2);
     store.put("b", "1");
@@ -110,7 +110,7 @@
   @Test
   void aProofThatIsAskedForIsNotTakenOverEras() {
     put(3);
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     long provenNanos = follower.provenNanos();
     follower.takeOver(told(at(1, 3), at(1, 3)), nowNanos);
@@ -124,7 +124,7 @@
   @Test
   void anEraThatAnotherCallTellsIsFollowedAfterADelay() {
     put(3);
-    follower.spareWhile(() -> true, 3_000);
+    follower.readThroughPeersWhile(() -> true, 3_000);
     follower.spreadListings(() -> 400);
     follower.start();
     int calls = store.calls().size();
