--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -110,7 +110,7 @@
    * @param condition true while nothing of the topic is needed, not null
    * @param longestMs the longest time without a read all the same, in milliseconds
    */
-  public void restWhile(BooleanSupplier condition, int longestMs) {
+  public void suspendReadsWhile(BooleanSupplier condition, int longestMs) {
     isNeedless = condition;
     longestRestNanos = TimeUnit.MILLISECONDS.toNanos(longestMs);
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
@@ -178,7 +178,7 @@
   void aFollowerThatNeedsNothingReadsOnFromWhereItStopped() {
     boolean[] isNeedless = {false};
     store.put("a", "1");
-    follower.restWhile(() -> isNeedless[0], 30_000);
+    follower.suspendReadsWhile(() -> isNeedless[0], 30_000);
     follower.start();
     isNeedless[0] = true;
     pass(SECOND_NANOS);
@@ -198,7 +198,7 @@
   @Test
   void aFollowerThatNeedsNothingReadsOnceInAWhileAllTheSame() {
     store.put("a", "1");
-    follower.restWhile(() -> true, 3_000);
+    follower.suspendReadsWhile(() -> true, 3_000);
     follower.start();
     int calls = store.calls().size();
     store.put("b", "2");
