--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -260,9 +260,9 @@
     // two seconds; with three readers for all, which the store may turn away, one came later in
     // four of thirteen runs with 7 and 9 processes.
     configFollower.readThroughPeersWhile(mesh::isMember, TOLD_CONFIG_PROOF_MS);
-    configFollower.spreadListings(() -> random.nextInt(LISTING_SPREAD_MS));
-    listFollower.spreadListings(() -> random.nextInt(LISTING_SPREAD_MS));
-    processFollower.spreadListings(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
+    configFollower.setListingDelay(() -> random.nextInt(LISTING_SPREAD_MS));
+    listFollower.setListingDelay(() -> random.nextInt(LISTING_SPREAD_MS));
+    processFollower.setListingDelay(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
     ports.storeEra().addListener(this::noteEra);
     listFollower.readThroughPeersWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
     leases.setChangeListener(mesh::hurry);
--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -122,7 +122,7 @@
    *
    * @param delayMs gives a delay in milliseconds, another one at each call, not null
    */
-  public void spreadListings(IntSupplier delayMs) {
+  public void setListingDelay(IntSupplier delayMs) {
     listingDelayMs = delayMs;
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -125,7 +125,7 @@
   void anEraThatAnotherCallTellsIsFollowedAfterADelay() {
     put(3);
     follower.readThroughPeersWhile(() -> true, 3_000);
-    follower.spreadListings(() -> 400);
+    follower.setListingDelay(() -> 400);
     follower.start();
     int calls = store.calls().size();
     store.goBack(2);
