--- a/edge/src/main/java/org/shoreroad/edge/Upkeep.java
+++ b/edge/src/main/java/org/shoreroad/edge/Upkeep.java
@@ -79,7 +79,7 @@
     addedNanos = nowAddedNanos;
     log.write("suspended_or_clock_set", "lengthMs", lengthMs);
     metrics.count("shoreroad.clock.leads", "time_of_day");
-    configFollower.proveSoon();
+    configFollower.renewProof();
   }
 
   /** Drops what was read of undeclared services before the first configuration came. */
--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -354,7 +354,7 @@
    * Reads once without waiting, beside the read that waits in the store: what that one proves may
    * be as old as its wait, and this process has just lost all proof.
    */
-  public void proveSoon() {
+  public void renewProof() {
     if (!isCurrent) {
       return;
     }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
@@ -63,13 +63,13 @@
     follower.start();
     store.put("a", "1");
     nowNanos += 2 * SECOND_NANOS;
-    follower.proveSoon();
+    follower.renewProof();
     assertThat(follower.provenNanos(), is(nowNanos));
     assertThat(seen.get("a"), is("1"));
     assertThat(follower.next().offset(), is(1L));
     store.failWith(StoreFault.NO_ANSWER);
     nowNanos += SECOND_NANOS;
-    follower.proveSoon();
+    follower.renewProof();
     assertThat(follower.provenNanos(), is(nowNanos - SECOND_NANOS));
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -117,7 +117,7 @@
     store.goBack(2);
     put(3);
     nowNanos += SECOND_NANOS / 10;
-    follower.proveSoon();
+    follower.renewProof();
     assertThat(follower.provenNanos(), is(provenNanos));
   }
 
