--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -170,7 +170,7 @@
   }
 
   /** Takes over what a peer has proved, if this process has read as far in the same era. */
-  public void proveByPeer(StorePosition peerNext, long peerProvenNanos) {
+  public void acceptPeerProof(StorePosition peerNext, long peerProvenNanos) {
     if (isCurrent && next.hasReached(peerNext)) {
       provenNanos = Math.max(provenNanos, peerProvenNanos);
       toldNanos = clockNanos.getAsLong();
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
@@ -100,11 +100,11 @@
     store.put("a", "1");
     follower.start();
     long proven = follower.provenNanos();
-    follower.proveByPeer(StorePosition.of(1, 2), proven + 50);
+    follower.acceptPeerProof(StorePosition.of(1, 2), proven + 50);
     assertThat(follower.provenNanos(), is(proven));
-    follower.proveByPeer(StorePosition.of(1, 1), proven + 50);
+    follower.acceptPeerProof(StorePosition.of(1, 1), proven + 50);
     assertThat(follower.provenNanos(), is(proven + 50));
-    follower.proveByPeer(StorePosition.of(1, 1), proven + 20);
+    follower.acceptPeerProof(StorePosition.of(1, 1), proven + 20);
     assertThat(follower.provenNanos(), is(proven + 50));
   }
 
@@ -238,9 +238,9 @@
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
-    follower.proveByPeer(StorePosition.of(1, 1), nowNanos);
+    follower.acceptPeerProof(StorePosition.of(1, 1), nowNanos);
     store.put("b", "2");
-    follower.proveByPeer(StorePosition.of(1, 2), nowNanos);
+    follower.acceptPeerProof(StorePosition.of(1, 2), nowNanos);
     pass(SECOND_NANOS);
     assertThat(seen.get("b"), is("2"));
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -77,7 +77,7 @@
     nowNanos += SECOND_NANOS;
     StoreRecord lost = new StoreRecord(at(1, 2), "lost", "1".getBytes(StandardCharsets.UTF_8));
     follower.takeOver(told(at(1, 1), at(1, 3), lost), nowNanos);
-    follower.proveByPeer(at(1, 1), nowNanos);
+    follower.acceptPeerProof(at(1, 1), nowNanos);
     assertThat(follower.provenNanos(), is(provenNanos));
     assertThat(seen.containsKey("lost"), is(false));
     assertThat(follower.next(), is(at(2, 1)));
@@ -89,7 +89,7 @@
     follower.start();
     long provenNanos = follower.provenNanos();
     nowNanos += SECOND_NANOS;
-    follower.proveByPeer(at(StorePosition.UNTOLD, 3), nowNanos);
+    follower.acceptPeerProof(at(StorePosition.UNTOLD, 3), nowNanos);
     follower.takeOver(told(at(-1, 3), at(-1, 3)), nowNanos);
     assertThat(follower.provenNanos(), is(provenNanos));
   }
@@ -101,7 +101,7 @@
     follower.start();
     store.goBack(2);
     store.put("b", "1");
-    follower.proveByPeer(at(2, 2), nowNanos);
+    follower.acceptPeerProof(at(2, 2), nowNanos);
     pass(SECOND_NANOS);
     assertThat(seen.get("b"), is("1"));
     assertThat(follower.next(), is(at(2, 2)));
