--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -428,7 +428,7 @@
     ListUpdate told = heartbeat.listUpdate();
     listFollower.noteEra(told.end().era());
     if (told.isProof() && !mesh.isReader()) {
-      listFollower.takeOver(told, heartbeat.echoNanos() - told.ageNanos());
+      listFollower.applyPeerUpdate(told, heartbeat.echoNanos() - told.ageNanos());
     }
     heartbeat.reports().forEach(fleet::updateByPeer);
     quarantine.learn(heartbeat.crashReports());
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
@@ -125,7 +125,7 @@
     int calls = store.calls().size();
     byte[] two = {'2'};
     for (int i = 0; i < 20; i++) {
-      follower.takeOver(told(1, 5, new StoreRecord(StorePosition.of(1, 3), "b", two)), nowNanos);
+      follower.applyPeerUpdate(told(1, 5, new StoreRecord(StorePosition.of(1, 3), "b", two)), nowNanos);
       pass(SECOND_NANOS / 5);
     }
     assertThat(store.calls().size(), is(calls));
@@ -139,7 +139,7 @@
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
-    follower.takeOver(told(1, 1), nowNanos);
+    follower.applyPeerUpdate(told(1, 1), nowNanos);
     int calls = store.calls().size();
     pass(SECOND_NANOS / 5);
     assertThat(store.calls().size(), is(calls));
@@ -156,7 +156,7 @@
     int calls = store.calls().size();
     long firstNanos = nowNanos;
     for (int i = 0; i < 25; i++) {
-      follower.takeOver(told(1, 1), firstNanos);
+      follower.applyPeerUpdate(told(1, 1), firstNanos);
       pass(SECOND_NANOS / 5);
     }
     assertThat(store.calls().size(), is(greaterThan(calls)));
@@ -167,8 +167,8 @@
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
-    follower.takeOver(told(1, 1), nowNanos);
-    follower.takeOver(
+    follower.applyPeerUpdate(told(1, 1), nowNanos);
+    follower.applyPeerUpdate(
         new ListUpdate(StorePosition.of(1, 1), StorePosition.of(1, 1), 0, 0, List.of()),
         nowNanos - SECOND_NANOS);
     assertThat(follower.reachableForNanos(), is(60 * SECOND_NANOS));
@@ -216,7 +216,7 @@
     int calls = store.calls().size();
     long provenNanos = follower.provenNanos();
     for (int i = 0; i < 10; i++) {
-      follower.takeOver(ListUpdate.readTo(StorePosition.of(1, 1)), nowNanos);
+      follower.applyPeerUpdate(ListUpdate.readTo(StorePosition.of(1, 1)), nowNanos);
       pass(SECOND_NANOS / 5);
     }
     assertThat(store.calls().size(), is(greaterThan(calls)));
@@ -227,7 +227,7 @@
   void aStretchThatBeginsTooLateIsNotTakenOver() {
     store.put("a", "1");
     follower.start();
-    follower.takeOver(
+    follower.applyPeerUpdate(
         told(2, 9, new StoreRecord(StorePosition.of(1, 8), "b", new byte[] {'2'})), nowNanos);
     assertThat(seen.containsKey("b"), is(false));
     assertThat(follower.next().offset(), is(1L));
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -62,7 +62,7 @@
     store.goBack(2);
     store.put("b", "leaving");
     for (int i = 0; i < 5; i++) {
-      follower.takeOver(told(at(2, 1), at(2, 2)), nowNanos);
+      follower.applyPeerUpdate(told(at(2, 1), at(2, 2)), nowNanos);
       pass(SECOND_NANOS / 5);
     }
     assertThat(seen.get("b"), is("leaving"));
@@ -76,7 +76,7 @@
     long provenNanos = follower.provenNanos();
     nowNanos += SECOND_NANOS;
     StoreRecord lost = new StoreRecord(at(1, 2), "lost", "1".getBytes(StandardCharsets.UTF_8));
-    follower.takeOver(told(at(1, 1), at(1, 3), lost), nowNanos);
+    follower.applyPeerUpdate(told(at(1, 1), at(1, 3), lost), nowNanos);
     follower.acceptPeerProof(at(1, 1), nowNanos);
     assertThat(follower.provenNanos(), is(provenNanos));
     assertThat(seen.containsKey("lost"), is(false));
@@ -90,7 +90,7 @@
     long provenNanos = follower.provenNanos();
     nowNanos += SECOND_NANOS;
     follower.acceptPeerProof(at(StorePosition.UNTOLD, 3), nowNanos);
-    follower.takeOver(told(at(-1, 3), at(-1, 3)), nowNanos);
+    follower.applyPeerUpdate(told(at(-1, 3), at(-1, 3)), nowNanos);
     assertThat(follower.provenNanos(), is(provenNanos));
   }
 
@@ -113,7 +113,7 @@
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     long provenNanos = follower.provenNanos();
-    follower.takeOver(told(at(1, 3), at(1, 3)), nowNanos);
+    follower.applyPeerUpdate(told(at(1, 3), at(1, 3)), nowNanos);
     store.goBack(2);
     put(3);
     nowNanos += SECOND_NANOS / 10;
@@ -129,7 +129,7 @@
     follower.start();
     int calls = store.calls().size();
     store.goBack(2);
-    follower.takeOver(told(at(1, 3), at(1, 3)), nowNanos);
+    follower.applyPeerUpdate(told(at(1, 3), at(1, 3)), nowNanos);
     follower.noteEra(2);
     follower.noteEra(2);
     pass(SECOND_NANOS / 5);
