--- a/edge/src/main/java/org/shoreroad/edge/Upkeep.java
+++ b/edge/src/main/java/org/shoreroad/edge/Upkeep.java
@@ -61,7 +61,7 @@
     lagMeasurement.run();
     noteSuspension();
     dropUndeclared();
-    fleet.settle(listFollower.reachableForNanos());
+    fleet.reconcile(listFollower.reachableForNanos());
     int processes = mesh.sharingCount();
     configuration.setProcessCount(processes);
     selector.setProcessCount(processes);
--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -355,7 +355,7 @@
    *
    * @param storeReachableNanos how long the store has answered without a fault
    */
-  public void settle(long storeReachableNanos) {
+  public void reconcile(long storeReachableNanos) {
     if (storeReachableNanos < RETURN_NANOS) {
       return;
     }
@@ -366,12 +366,12 @@
       FleetBox box = boxes.get(id);
       // Forgetting one upstream may let another one take its place on the list.
       if (box != null && unlisted.contains(id)) {
-        settle(box, nowNanos);
+        reconcile(box, nowNanos);
       }
     }
   }
 
-  private void settle(FleetBox box, long nowNanos) {
+  private void reconcile(FleetBox box, long nowNanos) {
     if (unlisted.makeFinal(box.id())) {
       noteListChange();
       log.write("upstream_off_list", "upstream", box.id(), "address", box.address());
--- a/edge/src/test/java/org/shoreroad/edge/relay/UpstreamSelectorTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/UpstreamSelectorTest.java
@@ -31,7 +31,7 @@
   void whatIsOffTheListIsNotChosen() {
     list("a", "OPEN");
     list("a", null);
-    fleet.settle(TimeUnit.MINUTES.toNanos(1));
+    fleet.reconcile(TimeUnit.MINUTES.toNanos(1));
     assertThat(choose(Set.of()) == null, is(true));
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -290,7 +290,7 @@
 
   private void takeOffTheList(String id) {
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 100), id, null));
-    fleet.settle(TimeUnit.MINUTES.toNanos(1));
+    fleet.reconcile(TimeUnit.MINUTES.toNanos(1));
   }
 
   @Test
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
@@ -299,11 +299,11 @@
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", null));
-    fleet.settle(SECOND_NANOS);
+    fleet.reconcile(SECOND_NANOS);
     assertThat(fleet.isOnList("i-1"), is(true));
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 2), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("i-1"), is(true));
   }
 
@@ -312,7 +312,7 @@
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", null));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("i-1"), is(false));
     assertThat(fleet.find("i-1") != null, is(true));
     fleet.forget("i-1");
@@ -339,7 +339,7 @@
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 1), "i-2", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onListed(Set.of("i-2"), StorePosition.of(1, 9));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("i-1"), is(false));
     assertThat(fleet.isOnList("i-2"), is(true));
   }
@@ -368,10 +368,10 @@
     fleet.update(member(fleet.find("i-1"), "m", MemberState.READY));
     // The box leaves its replica, and its entry says so; it writes no further one.
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", entry));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.find("i-1").membership() == null, is(false));
     nowNanos += 2 * SECOND_NANOS;
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.find("i-1").membership() == null, is(true));
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/OlderCopyTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/OlderCopyTest.java
@@ -55,7 +55,7 @@
 
   private void pass(long seconds) {
     nowNanos += seconds * SECOND;
-    fleet.settle(seconds * SECOND);
+    fleet.reconcile(seconds * SECOND);
   }
 
   /** Lets the box report an open replica, and then nothing for three seconds. */
--- a/edge/src/test/java/org/shoreroad/edge/sync/RestartedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/RestartedUpstreamTest.java
@@ -118,7 +118,7 @@
   void aReportDoesNotPutAnUpstreamOnTheListThatWasTakenOff() {
     entry("7 ready");
     fleet.onRecord(new StoreRecord(StorePosition.of(1, offset++), "a", null));
-    fleet.settle(TimeUnit.MINUTES.toNanos(1));
+    fleet.reconcile(TimeUnit.MINUTES.toNanos(1));
     assertThat(fleet.isOnList("a"), is(false));
     fleet.update(report(9));
     assertThat(fleet.find("a").bornMs(), is(9L));
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -167,7 +167,7 @@
     fleet.onListed(Set.of("old"), at(2, 4));
     assertThat(fleet.find("new") != null, is(true));
     entry(2, 6, "new", "h:1 ready");
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("new"), is(true));
     assertThat(fleet.find("old") == null, is(true));
   }
@@ -178,7 +178,7 @@
     entry(2, 3, "two", "h:1 ready");
     fleet.onListed(Set.of("two"), at(2, 4));
     assertThat(fleet.find("two") == null, is(true));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("two"), is(true));
     assertThat(fleet.find("one") == null, is(true));
   }
@@ -208,13 +208,13 @@
   void aRemovalThatTheCopyLacksStandsForFiveSeconds() {
     entry(1, 3, "a", "h:1 ready");
     fleet.onRecord(new StoreRecord(at(1, 9), "a", null));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     entry(2, 3, "a", "h:1 ready");
     fleet.onListed(Set.of("a"), at(2, 4));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("a"), is(false));
     nowNanos += 5 * SECOND_NANOS;
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("a"), is(true));
   }
 
@@ -233,7 +233,7 @@
   void anEntryThatAListingLackedCountsAtOnceWhenItIsWritten() {
     entry(1, 3, "a", "h:1 ready");
     fleet.onListed(Set.of(), at(1, 9));
-    fleet.settle(60 * SECOND_NANOS);
+    fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isOnList("a"), is(false));
     entry(1, 9, "a", "h:1 ready");
     assertThat(fleet.isOnList("a"), is(true));
