--- a/edge/src/main/java/org/shoreroad/edge/relay/FleetSummary.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/FleetSummary.java
@@ -75,7 +75,7 @@
 
   private String describe(FleetBox box) {
     Membership membership = box.membership();
-    if (!fleet.isOnList(box.id())) {
+    if (!fleet.isEligible(box.id())) {
       return "off_list";
     }
     if (box.isLeaving()) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/UpstreamTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/UpstreamTable.java
@@ -112,7 +112,7 @@
     plainUpstreams.clear();
     servingReplicas.clear();
     for (FleetBox box : fleet.boxes()) {
-      if (box.isLeaving() || !fleet.isOnList(box.id())) {
+      if (box.isLeaving() || !fleet.isEligible(box.id())) {
         continue;
       }
       if (box.domain() == null) {
--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
@@ -185,7 +185,7 @@
     boolean isConfirmed = reach.hasReport(box.id(), CONFIRMED_NANOS, nowNanos);
     String lastModel = fleet.lastModel(box.id());
     // A box whose entry is gone for good serves on for a while, as one that said that it leaves.
-    FleetBox seen = fleet.isOnList(box.id()) ? box : box.withLeaving();
+    FleetBox seen = fleet.isEligible(box.id()) ? box : box.withLeaving();
     return new ObservedBox(
         seen, isListed, reached, isSteady, isConfirmed, isStandingStill, lastModel);
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -429,7 +429,7 @@
   }
 
   /** Returns true if the upstream may be given requests, as far as the list goes. */
-  public boolean isOnList(String id) {
+  public boolean isEligible(String id) {
     return boxes.containsKey(id) && !unlisted.isFinal(id);
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -360,7 +360,7 @@
     startWithMember("a", replica);
     run(2_000);
     assertThat(engines.asked, hasItem("h"));
-    assertThat(fleet.isOnList("h"), is(false));
+    assertThat(fleet.isEligible("h"), is(false));
     // It answers, so its work is ended by order before its member serves elsewhere.
     List<String> given =
         engines.orders.stream()
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
@@ -300,11 +300,11 @@
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", null));
     fleet.reconcile(SECOND_NANOS);
-    assertThat(fleet.isOnList("i-1"), is(true));
+    assertThat(fleet.isEligible("i-1"), is(true));
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 2), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("i-1"), is(true));
+    assertThat(fleet.isEligible("i-1"), is(true));
   }
 
   @Test
@@ -313,7 +313,7 @@
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", null));
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("i-1"), is(false));
+    assertThat(fleet.isEligible("i-1"), is(false));
     assertThat(fleet.find("i-1") != null, is(true));
     fleet.forget("i-1");
     assertThat(fleet.find("i-1") == null, is(true));
@@ -340,8 +340,8 @@
         new StoreRecord(StorePosition.of(1, 1), "i-2", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onListed(Set.of("i-2"), StorePosition.of(1, 9));
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("i-1"), is(false));
-    assertThat(fleet.isOnList("i-2"), is(true));
+    assertThat(fleet.isEligible("i-1"), is(false));
+    assertThat(fleet.isEligible("i-2"), is(true));
   }
 
   @Test
@@ -394,10 +394,10 @@
   void aBoxThatTheListDoesNotHoldCanBeKnownAndGetsNoRequests() {
     assertThat(fleet.addUnlisted(unlisted("i-9", "h:9")), is(true));
     assertThat(fleet.find("i-9") == null, is(false));
-    assertThat(fleet.isOnList("i-9"), is(false));
+    assertThat(fleet.isEligible("i-9"), is(false));
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 1), "i-9", "at h:9".getBytes(StandardCharsets.UTF_8)));
-    assertThat(fleet.isOnList("i-9"), is(true));
+    assertThat(fleet.isEligible("i-9"), is(true));
   }
 
   @Test
--- a/edge/src/test/java/org/shoreroad/edge/sync/RestartedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/RestartedUpstreamTest.java
@@ -68,7 +68,7 @@
     entry("9 ready");
     assertThat(fleet.find("a").membership(), is(nullValue()));
     assertThat(fleet.lastModel("a"), is(nullValue()));
-    assertThat(fleet.isOnList("a"), is(true));
+    assertThat(fleet.isEligible("a"), is(true));
     assertThat(endedMs, contains(7L));
   }
 
@@ -96,7 +96,7 @@
     assertThat(fleet.update(report(9)), is(true));
     assertThat(endedMs, contains(7L));
     assertThat(fleet.find("a").bornMs(), is(9L));
-    assertThat(fleet.isOnList("a"), is(true));
+    assertThat(fleet.isEligible("a"), is(true));
     // A listing may still hold the former run's entry.
     entry("7 leaving");
     assertThat(fleet.find("a").bornMs(), is(9L));
@@ -119,13 +119,13 @@
     entry("7 ready");
     fleet.onRecord(new StoreRecord(StorePosition.of(1, offset++), "a", null));
     fleet.reconcile(TimeUnit.MINUTES.toNanos(1));
-    assertThat(fleet.isOnList("a"), is(false));
+    assertThat(fleet.isEligible("a"), is(false));
     fleet.update(report(9));
     assertThat(fleet.find("a").bornMs(), is(9L));
     assertThat(fleet.isListed("a"), is(false));
-    assertThat(fleet.isOnList("a"), is(false));
+    assertThat(fleet.isEligible("a"), is(false));
     entry("9 ready");
-    assertThat(fleet.isOnList("a"), is(true));
+    assertThat(fleet.isEligible("a"), is(true));
   }
 
   /** A peer's report may be on its way while the restart is listed. */
@@ -149,7 +149,7 @@
     byte[] again = "9 ready".getBytes(StandardCharsets.UTF_8);
     fleet.onRecord(new StoreRecord(StorePosition.of(2, 45), "a", again));
     assertThat(fleet.find("a").bornMs(), is(9L));
-    assertThat(fleet.isOnList("a"), is(true));
+    assertThat(fleet.isEligible("a"), is(true));
     assertThat(endedMs.isEmpty(), is(true));
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -168,7 +168,7 @@
     assertThat(fleet.find("new") != null, is(true));
     entry(2, 6, "new", "h:1 ready");
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("new"), is(true));
+    assertThat(fleet.isEligible("new"), is(true));
     assertThat(fleet.find("old") == null, is(true));
   }
 
@@ -179,7 +179,7 @@
     fleet.onListed(Set.of("two"), at(2, 4));
     assertThat(fleet.find("two") == null, is(true));
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("two"), is(true));
+    assertThat(fleet.isEligible("two"), is(true));
     assertThat(fleet.find("one") == null, is(true));
   }
 
@@ -212,10 +212,10 @@
     entry(2, 3, "a", "h:1 ready");
     fleet.onListed(Set.of("a"), at(2, 4));
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("a"), is(false));
+    assertThat(fleet.isEligible("a"), is(false));
     nowNanos += 5 * SECOND_NANOS;
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("a"), is(true));
+    assertThat(fleet.isEligible("a"), is(true));
   }
 
   @Test
@@ -225,7 +225,7 @@
     entry(2, 3, "a", "h:1 ready");
     fleet.onListed(Set.of("a"), at(2, 4));
     entry(2, 4, "a", "h:1 ready");
-    assertThat(fleet.isOnList("a"), is(true));
+    assertThat(fleet.isEligible("a"), is(true));
   }
 
   /** The first record after a listing stands at the listing's end. */
@@ -234,9 +234,9 @@
     entry(1, 3, "a", "h:1 ready");
     fleet.onListed(Set.of(), at(1, 9));
     fleet.reconcile(60 * SECOND_NANOS);
-    assertThat(fleet.isOnList("a"), is(false));
+    assertThat(fleet.isEligible("a"), is(false));
     entry(1, 9, "a", "h:1 ready");
-    assertThat(fleet.isOnList("a"), is(true));
+    assertThat(fleet.isEligible("a"), is(true));
   }
 
   @Test
