--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -279,7 +279,7 @@
     fleet.setServiceCheck(configuration::isDeclared);
     fleet.setFaultListener(
         fault -> metrics.count("shoreroad.upstreams.unusable_entries", fault.code()));
-    fleet.setFormerListener(what -> metrics.count("shoreroad.upstreams.former_incarnation", what));
+    fleet.setFormerIncarnationListener(what -> metrics.count("shoreroad.upstreams.former_incarnation", what));
     fleet.addRemovalListener(
         box -> {
           calls.forget(box.address());
--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -76,7 +76,7 @@
   }
 
   /** Sets what counts the entries and reports of former incarnations, by which of both it is. */
-  public void setFormerListener(Consumer<String> listener) {
+  public void setFormerIncarnationListener(Consumer<String> listener) {
     formerIncarnations.setListener(listener);
   }
 
