--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -404,7 +404,7 @@
         stalls.ownSuspectedIds(),
         failureDetector.questions(),
         replicas.silentForPeers(),
-        leases.kept(),
+        leases.grantedDomains(),
         reports,
         ListUpdate.readTo(listFollower.next()),
         quarantine.reports(),
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -130,7 +130,7 @@
   }
 
   /** Returns the domains that the store has assigned to this process. */
-  public Set<String> kept() {
+  public Set<String> grantedDomains() {
     Set<String> kept = new HashSet<>();
     leases.forEach(
         (domain, lease) -> {
@@ -181,7 +181,7 @@
       claims
           .due(nowNanos, all, elsewhere, leases.keySet(), peers.names())
           .forEach(this::checkThenClaim);
-      claims.toHandOn(nowNanos, kept(), all.size(), peers.aliveCount()).ifPresent(this::handOn);
+      claims.toHandOn(nowNanos, grantedDomains(), all.size(), peers.aliveCount()).ifPresent(this::handOn);
     }
     tellChanges();
   }
@@ -262,7 +262,7 @@
   }
 
   private void tellChanges() {
-    Set<String> kept = kept();
+    Set<String> kept = grantedDomains();
     if (!kept.equals(announced)) {
       announced = kept;
       onChange.run();
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
@@ -89,7 +89,7 @@
 
       @Override
       public @Nullable Set<String> keptDomains() {
-        return processes.get(self.equals("a") ? "b" : "a").kept();
+        return processes.get(self.equals("a") ? "b" : "a").grantedDomains();
       }
 
       @Override
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
@@ -93,7 +93,7 @@
     for (int passed = 0; passed < millis; passed += STEP_MS) {
       Map<String, Set<String>> now = new HashMap<>();
       processes.forEach(
-          (name, leases) -> now.put(name, dead.contains(name) ? Set.of() : leases.kept()));
+          (name, leases) -> now.put(name, dead.contains(name) ? Set.of() : leases.grantedDomains()));
       told.add(now);
       long nanos = TimeUnit.MILLISECONDS.toNanos(STEP_MS);
       nowNanos += nanos;
@@ -134,7 +134,7 @@
     assertThat(owners.size(), is(25));
     owners
         .values()
-        .forEach(name -> assertThat(processes.get(name).kept().size(), lessThanOrEqualTo(2)));
+        .forEach(name -> assertThat(processes.get(name).grantedDomains().size(), lessThanOrEqualTo(2)));
   }
 
   @Test
--- a/edge/src/test/java/org/shoreroad/edge/sync/FormationNumberTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FormationNumberTest.java
@@ -57,15 +57,15 @@
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     leases.start();
     pass(10);
-    assertThat(leases.kept(), contains(DOMAIN));
+    assertThat(leases.grantedDomains(), contains(DOMAIN));
     long before = leases.nextEpoch(DOMAIN);
     store.failWith(StoreFault.NO_ANSWER);
     pass(10);
-    assertThat(leases.kept(), empty());
+    assertThat(leases.grantedDomains(), empty());
     store.failWith(null);
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     pass(10);
-    assertThat(leases.kept(), contains(DOMAIN));
+    assertThat(leases.grantedDomains(), contains(DOMAIN));
     assertThat(leases.nextEpoch(DOMAIN), greaterThan(before));
   }
 }
