--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -114,7 +114,7 @@
   }
 
   private int tickMs() {
-    if (!leases.holdsAny()) {
+    if (!leases.hasGrantedDomains()) {
       return TICK_WITHOUT_DOMAIN_MS;
     }
     boolean isCalm = suspectedSinceNanos.isEmpty() && !watch.isAnyBusy();
@@ -123,7 +123,7 @@
 
   /** Decides anew right after what happens now, in place of at the next tick. */
   public void hurry() {
-    if (!isHurried && leases.holdsAny()) {
+    if (!isHurried && leases.hasGrantedDomains()) {
       isHurried = true;
       timer.once(0, "replicas", this::keepHurried);
     }
@@ -148,7 +148,7 @@
     if (current == null) {
       return;
     }
-    if (!leases.holdsAny()) {
+    if (!leases.hasGrantedDomains()) {
       keepers.clear();
       watch.forgetDomains();
       return;
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -142,7 +142,7 @@
   }
 
   /** Returns true if the store has assigned at least one domain to this process. */
-  public boolean holdsAny() {
+  public boolean hasGrantedDomains() {
     return leases.values().stream().anyMatch(DomainLease::isGranted);
   }
 
