--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -205,7 +205,7 @@
   }
 
   @Override
-  public @Nullable Set<String> keptDomains() {
+  public @Nullable Set<String> ownedDomains() {
     List<Heard> speakers = speakers(Peer.ALIVE_NANOS);
     if (speakers.isEmpty() && !peers.all().isEmpty()) {
       return null;
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -94,7 +94,7 @@
   /** View of the other processes. */
   public interface Peers {
     /** Returns the domains that they own by their heartbeats, or null while none arrives. */
-    @Nullable Set<String> keptDomains();
+    @Nullable Set<String> ownedDomains();
 
     /** Returns the names of all known processes, alive or not. */
     Collection<String> names();
@@ -171,7 +171,7 @@
     if (isLeaving || nowNanos - startedNanos < START_NANOS) {
       return;
     }
-    Set<String> told = peers.keptDomains();
+    Set<String> told = peers.ownedDomains();
     isTold = told != null;
     toldNanos = isTold ? nowNanos : toldNanos;
     Set<String> elsewhere = told == null ? Set.of() : told;
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
@@ -300,7 +300,7 @@
             () ->
                 processes.stream()
                     .allMatch(
-                        p -> p.mesh.keptDomains() != null && p.mesh.keptDomains().size() == 29)),
+                        p -> p.mesh.ownedDomains() != null && p.mesh.ownedDomains().size() == 29)),
         is(true));
   }
 
@@ -308,13 +308,13 @@
   void whoHearsNobodyKnowsOfNoDomains() throws Exception {
     start(1);
     Process alone = processes.get(0);
-    assertThat(alone.mesh.keptDomains(), is(Set.of()));
+    assertThat(alone.mesh.ownedDomains(), is(Set.of()));
     onLoop(
         () -> {
           alone.mesh.add(new Place("box-9~9", "zone-1"), "127.0.0.1:1", StorePosition.of(1, 1));
           return true;
         });
-    assertThat(alone.mesh.keptDomains() == null, is(true));
+    assertThat(alone.mesh.ownedDomains() == null, is(true));
   }
 
   @Test
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -112,7 +112,7 @@
   /** No other process is known. */
   private static final class Alone implements DomainLeases.Peers {
     @Override
-    public Set<String> keptDomains() {
+    public Set<String> ownedDomains() {
       return Set.of();
     }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
@@ -88,7 +88,7 @@
       }
 
       @Override
-      public @Nullable Set<String> keptDomains() {
+      public @Nullable Set<String> ownedDomains() {
         return processes.get(self.equals("a") ? "b" : "a").grantedDomains();
       }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public @Nullable Set<String> keptDomains() {
+    public @Nullable Set<String> ownedDomains() {
       if (deaf.contains(self)) {
         return null;
       }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FormationNumberTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FormationNumberTest.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public @Nullable Set<String> keptDomains() {
+    public @Nullable Set<String> ownedDomains() {
       return Set.of();
     }
 
