--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -285,7 +285,7 @@
   }
 
   private DomainKeeper takeDomain(String key, String domain, List<FleetBox> boxes) {
-    log.write("domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fence(key));
+    log.write("domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fencingNumber(key));
     return new DomainKeeper(domain, KeeperTiming.DEFAULT, () -> leases.nextEpoch(key));
   }
 
@@ -294,7 +294,7 @@
     if (box == null) {
       return;
     }
-    long fence = leases.fence(key);
+    long fence = leases.fencingNumber(key);
     engines.order(
         box,
         order,
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -153,7 +153,7 @@
   }
 
   /** Returns the fencing number of orders given now in a domain that is held. */
-  public long fence(String domain) {
+  public long fencingNumber(String domain) {
     return leaseOf(domain).fence();
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
@@ -125,7 +125,7 @@
 
     private void checkNumbers(String holder) {
       heldSteps++;
-      long fence = processes.get(holder).fence(DOMAIN);
+      long fence = processes.get(holder).fencingNumber(DOMAIN);
       boolean isOutdated = holder.equals(lastHolder) ? fence < highestFence : fence <= highestFence;
       if (isOutdated) {
         faults.add("engines reject the orders of " + holder);
