--- a/edge/src/main/java/org/shoreroad/edge/peer/HeartbeatCodec.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/HeartbeatCodec.java
@@ -94,8 +94,8 @@
       List<CrashReport> crashReports = hasCrashReports ? CrashReportCodec.unpack(in) : List.of();
       // Positions without an era prove nothing, so that such a peer is not relied on.
       boolean hasEras = in.hasNext();
-      long configEra = hasEras ? in.unpackLong() : StorePosition.UNTOLD;
-      long listEra = hasEras ? in.unpackLong() : StorePosition.UNTOLD;
+      long configEra = hasEras ? in.unpackLong() : StorePosition.UNKNOWN_ERA;
+      long listEra = hasEras ? in.unpackLong() : StorePosition.UNKNOWN_ERA;
       long configVersion = hasEras ? in.unpackLong() : Heartbeat.NO_CONFIG;
       List<LimitReport> limitReports = in.hasNext() ? LimitReportCodec.unpack(in) : List.of();
       return new Heartbeat(
@@ -162,7 +162,7 @@
 
   /** Returns the position at an offset whose era stands further on. */
   private static StorePosition untold(long offset) {
-    return StorePosition.of(StorePosition.UNTOLD, offset);
+    return StorePosition.of(StorePosition.UNKNOWN_ERA, offset);
   }
 
   private static List<StoreRecord> unpackRecords(MessageUnpacker in) throws IOException {
--- a/edge/src/main/java/org/shoreroad/edge/sync/StorePosition.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StorePosition.java
@@ -8,17 +8,17 @@
  * beyond those of the former era that it was made of, so a record of a later era at a higher offset
  * was written later. This class is immutable and thread-safe.
  *
- * @param era the era of the store, {@link StoreEra#NONE} if the store tells none, {@link #UNTOLD}
+ * @param era the era of the store, {@link StoreEra#NONE} if the store tells none, {@link #UNKNOWN_ERA}
  *     if a peer of an earlier release does not tell it
  * @param offset the offset, or -1 if none is known
  * @since 0.2
  */
 public record StorePosition(long era, long offset) {
   /** Stands for the era of a position that was told without one. */
-  public static final long UNTOLD = -1;
+  public static final long UNKNOWN_ERA = -1;
 
   /** No position: nothing has been read. */
-  public static final StorePosition NOWHERE = new StorePosition(UNTOLD, -1);
+  public static final StorePosition NOWHERE = new StorePosition(UNKNOWN_ERA, -1);
 
   /** Returns the position at an offset in an era. */
   public static StorePosition of(long era, long offset) {
--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -51,7 +51,7 @@
 
   private boolean isListing;
 
-  private long dueEra = StorePosition.UNTOLD;
+  private long dueEra = StorePosition.UNKNOWN_ERA;
   private IntSupplier listingDelayMs = () -> 0;
   private long provenNanos;
   private boolean isCurrent;
--- a/edge/src/test/java/org/shoreroad/edge/peer/HeartbeatCodecTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/HeartbeatCodecTest.java
@@ -177,9 +177,9 @@
     assertThat(withoutLimits.configVersion(), is(heartbeat.configVersion()));
     assertThat(withoutLimits.limitReports(), is(List.of()));
     for (Heartbeat earlier : List.of(withoutStarts, withoutEras)) {
-      assertThat(earlier.configNext(), is(StorePosition.of(StorePosition.UNTOLD, 9)));
+      assertThat(earlier.configNext(), is(StorePosition.of(StorePosition.UNKNOWN_ERA, 9)));
       assertThat(earlier.configVersion(), is(Heartbeat.NO_CONFIG));
-      assertThat(earlier.listUpdate(), is(heartbeat.listUpdate().withEra(StorePosition.UNTOLD)));
+      assertThat(earlier.listUpdate(), is(heartbeat.listUpdate().withEra(StorePosition.UNKNOWN_ERA)));
       assertThat(earlier.loads(), is(heartbeat.loads()));
     }
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -89,7 +89,7 @@
     follower.start();
     long provenNanos = follower.provenNanos();
     nowNanos += SECOND_NANOS;
-    follower.acceptPeerProof(at(StorePosition.UNTOLD, 3), nowNanos);
+    follower.acceptPeerProof(at(StorePosition.UNKNOWN_ERA, 3), nowNanos);
     follower.applyPeerUpdate(told(at(-1, 3), at(-1, 3)), nowNanos);
     assertThat(follower.provenNanos(), is(provenNanos));
   }
