--- a/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
+++ b/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
@@ -203,7 +203,7 @@
   }
 
   StorePosition next() {
-    return follower == null ? StorePosition.NOWHERE : follower.next();
+    return follower == null ? StorePosition.NONE : follower.next();
   }
 
   long configAgeNanos() {
--- a/edge/src/main/java/org/shoreroad/edge/peer/ProcessRegistry.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/ProcessRegistry.java
@@ -31,7 +31,7 @@
   private final PeerMesh mesh;
   private final Place self;
   private @Nullable Announcement announcement;
-  private StorePosition announced = StorePosition.NOWHERE;
+  private StorePosition announced = StorePosition.NONE;
 
   /** Creates a registry; {@link #announce} adds this process. */
   public ProcessRegistry(Store store, EventLoop loop, EventLog log, PeerMesh mesh, Place self) {
@@ -92,7 +92,7 @@
         announced = end;
       } else {
         log.write("announcement_lost", "era", announced.era(), "offset", announced.offset());
-        announced = StorePosition.NOWHERE;
+        announced = StorePosition.NONE;
         write(lost);
       }
     }
--- a/edge/src/main/java/org/shoreroad/edge/sync/AddressTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/AddressTable.java
@@ -49,12 +49,12 @@
 
   /** Returns true if the entry was written after that of an upstream, for certain. */
   boolean isAfter(ListedEntry entry, String id) {
-    return entry.position().isCertainlyAfter(positions.getOrDefault(id, StorePosition.NOWHERE));
+    return entry.position().isCertainlyAfter(positions.getOrDefault(id, StorePosition.NONE));
   }
 
   /** Returns true if the entry was written before that of an upstream, for certain. */
   boolean isBefore(ListedEntry entry, String id) {
-    return positions.getOrDefault(id, StorePosition.NOWHERE).isCertainlyAfter(entry.position());
+    return positions.getOrDefault(id, StorePosition.NONE).isCertainlyAfter(entry.position());
   }
 
   /** Gives the address to an upstream that the list does not hold. */
--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -335,7 +335,7 @@
   /** Goes by the report of a later incarnation, whose entry has not been read yet. */
   private void restart(FleetBox before, FleetBox report) {
     UnlistedUpstreams.Absence absence = unlisted.find(before.id());
-    endFormer(before, report, StorePosition.NOWHERE);
+    endFormer(before, report, StorePosition.NONE);
     FleetBox after =
         before
             .withStart(report.bornMs())
--- a/edge/src/main/java/org/shoreroad/edge/sync/FormerIncarnations.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/FormerIncarnations.java
@@ -34,7 +34,7 @@
   /**
    * Takes note that an incarnation is over.
    *
-   * @param endedBy the position of the later incarnation's entry, or {@link StorePosition#NOWHERE}
+   * @param endedBy the position of the later incarnation's entry, or {@link StorePosition#NONE}
    *     if it answered for itself
    */
   void add(FleetBox box, StorePosition endedBy) {
@@ -76,7 +76,7 @@
       return false;
     }
     boolean runs =
-        !endedBy.equals(StorePosition.NOWHERE) && entry.position().isCertainlyAfter(endedBy);
+        !endedBy.equals(StorePosition.NONE) && entry.position().isCertainlyAfter(endedBy);
     if (runs) {
       over.remove(entry.box().incarnation());
     }
--- a/edge/src/main/java/org/shoreroad/edge/sync/ListUpdate.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/ListUpdate.java
@@ -27,7 +27,7 @@
   private static final long NO_PROOF_NANOS = Long.MAX_VALUE / 4;
 
   /** Nothing that anybody could use. */
-  public static final ListUpdate NONE = readTo(StorePosition.NOWHERE);
+  public static final ListUpdate NONE = readTo(StorePosition.NONE);
 
   /** Copies the list. */
   public ListUpdate {
--- a/edge/src/main/java/org/shoreroad/edge/sync/StorePosition.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StorePosition.java
@@ -18,7 +18,7 @@
   public static final long UNKNOWN_ERA = -1;
 
   /** No position: nothing has been read. */
-  public static final StorePosition NOWHERE = new StorePosition(UNKNOWN_ERA, -1);
+  public static final StorePosition NONE = new StorePosition(UNKNOWN_ERA, -1);
 
   /** Returns the position at an offset in an era. */
   public static StorePosition of(long era, long offset) {
--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -44,7 +44,7 @@
   private final IntSupplier minIntervalMs;
   private final Listener listener;
   private final Set<String> listedKeys = new HashSet<>();
-  private StorePosition next = StorePosition.NOWHERE;
+  private StorePosition next = StorePosition.NONE;
 
   /** Counts listings; an answer to a call of an earlier one is passed over. */
   private int round;
--- a/edge/src/test/java/org/shoreroad/edge/sync/StorePositionTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StorePositionTest.java
@@ -34,7 +34,7 @@
 
   @Test
   void anyRecordIsAfterNowhere() {
-    assertThat(at(StoreEra.NONE, 0).isCertainlyAfter(StorePosition.NOWHERE), is(true));
-    assertThat(at(StoreEra.NONE, 0).hasReached(StorePosition.NOWHERE), is(false));
+    assertThat(at(StoreEra.NONE, 0).isCertainlyAfter(StorePosition.NONE), is(true));
+    assertThat(at(StoreEra.NONE, 0).hasReached(StorePosition.NONE), is(false));
   }
 }
