--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -427,7 +427,7 @@
     failureDetector.learn(heartbeat);
     ListUpdate told = heartbeat.listUpdate();
     listFollower.noteEra(told.end().era());
-    if (told.isProof() && !mesh.isReader()) {
+    if (told.hasProof() && !mesh.isReader()) {
       listFollower.applyPeerUpdate(told, heartbeat.echoNanos() - told.ageNanos());
     }
     heartbeat.reports().forEach(fleet::updateByPeer);
--- a/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
@@ -85,7 +85,7 @@
   ListUpdate listUpdate(Function<StorePosition, ListUpdate> listSince, long nowNanos) {
     StorePosition held = lastHeard().listUpdate().end();
     ListUpdate update = listSince.apply(listProgress.next(held, nowNanos));
-    if (update.isProof()) {
+    if (update.hasProof()) {
       listProgress.noteTold(update.end(), nowNanos);
     }
     return update;
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -453,7 +453,7 @@
       return own.listUpdate();
     }
     ListUpdate update = peer.listUpdate(source::listSince, clockNanos.getAsLong());
-    return update.isProof() ? update : own.listUpdate();
+    return update.hasProof() ? update : own.listUpdate();
   }
 
   private void receive(Heartbeat heartbeat) {
--- a/edge/src/main/java/org/shoreroad/edge/sync/ListUpdate.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/ListUpdate.java
@@ -48,7 +48,7 @@
   }
 
   /** Returns true if the sender has proof that it missed no change up to the end. */
-  public boolean isProof() {
+  public boolean hasProof() {
     return ageNanos < NO_PROOF_NANOS;
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -184,7 +184,7 @@
   /** Takes over a stretch that a peer has read, if nothing is missing before it. */
   public void applyPeerUpdate(ListUpdate update, long peerProvenNanos) {
     noteEra(update.end().era());
-    if (!isCurrent || !update.isProof() || !next.hasReached(update.from())) {
+    if (!isCurrent || !update.hasProof() || !next.hasReached(update.from())) {
       return;
     }
     if (!isTold()) {
