--- a/edge/src/main/java/org/shoreroad/edge/sync/AddressTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/AddressTable.java
@@ -42,7 +42,7 @@
       return true;
     }
     if (!isBefore(entry, other)) {
-      await(entry);
+      addWaiting(entry);
     }
     return false;
   }
@@ -72,12 +72,12 @@
   }
 
   /** Keeps an entry until the address is released. */
-  void await(ListedEntry entry) {
+  void addWaiting(ListedEntry entry) {
     waiting.put(entry.box().address(), entry);
   }
 
   /** Returns true if an entry waits for the address. */
-  boolean isAwaited(String address) {
+  boolean hasWaiting(String address) {
     return waiting.containsKey(address);
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLease.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLease.java
@@ -140,12 +140,12 @@
   }
 
   /** Returns how long ago this process claimed the domain, in nanoseconds. */
-  long claimedForNanos() {
+  long claimAgeNanos() {
     return clockNanos.getAsLong() - claimedNanos;
   }
 
   /** Returns the fencing number of orders given now. */
-  long fence() {
+  long fencingNumber() {
     return grant.fencingNumber();
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -154,7 +154,7 @@
 
   /** Returns the fencing number of orders given now in a domain that is held. */
   public long fencingNumber(String domain) {
-    return leaseOf(domain).fence();
+    return leaseOf(domain).fencingNumber();
   }
 
   /** Returns a number higher than that of any earlier formation in a domain that is held. */
@@ -196,7 +196,7 @@
               boolean isUngranted =
                   !lease.isGranted()
                       && (elsewhere.contains(entry.getKey())
-                          || lease.claimedForNanos() > UNGRANTED_NANOS);
+                          || lease.claimAgeNanos() > UNGRANTED_NANOS);
               if (lease.isLost() || isUngranted) {
                 lease.leave();
                 return true;
--- a/edge/src/main/java/org/shoreroad/edge/sync/EntryHistory.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/EntryHistory.java
@@ -50,7 +50,7 @@
   }
 
   /** Takes note that an upstream has said in an answer that it is about to end. */
-  void noteSaidLeaving(Incarnation upstream) {
+  void noteAnnouncedLeaving(Incarnation upstream) {
     saidLeaving.add(upstream);
   }
 
@@ -74,7 +74,7 @@
    * Returns true if the entry is not to count for now: it was taken away, and comes back from a
    * copy that may be older.
    */
-  boolean holdsBack(ListedEntry entry, long nowNanos) {
+  boolean holdBackIfRemoved(ListedEntry entry, long nowNanos) {
     String id = entry.box().id();
     if (mayPredate(entry, removals.get(id))) {
       heldUntilNanos.putIfAbsent(id, nowNanos + HOLD_NANOS);
@@ -85,7 +85,7 @@
   }
 
   /** Returns the upstreams whose entries have been held back long enough, each once. */
-  List<String> takeNoLongerHeld(long nowNanos) {
+  List<String> takeReleased(long nowNanos) {
     List<String> taken = new ArrayList<>();
     heldUntilNanos.forEach(
         (id, untilNanos) -> {
--- a/edge/src/main/java/org/shoreroad/edge/sync/EntryIntake.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/EntryReader.java
@@ -16,7 +16,7 @@
  * writes the next one within a heartbeat, and its requests run on meanwhile. Used on the event
  * loop.
  */
-final class EntryIntake {
+final class EntryReader {
   /** Ids whose last fault is remembered, so that each is logged once and not at each heartbeat. */
   private static final int MAX_FAULTY = 1_000;
 
@@ -26,7 +26,7 @@
   private Predicate<String> isKnownService = name -> true;
   private Consumer<EntryFault> faultListener = fault -> {};
 
-  EntryIntake(Fleet.Decoder decoder, EventLog log) {
+  EntryReader(Fleet.Decoder decoder, EventLog log) {
     this.decoder = decoder;
     this.log = log;
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -31,7 +31,7 @@
   /** Entries that lapsed in an outage are back within about two seconds. */
   private static final long RETURN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
 
-  private final EntryIntake intake;
+  private final EntryReader intake;
   private final StatusReports reports;
   private final LongSupplier clockNanos;
   private final EventLog log;
@@ -50,7 +50,7 @@
 
   /** Creates an empty fleet. */
   public Fleet(Decoder decoder, LongSupplier clockNanos, EventLog log) {
-    this.intake = new EntryIntake(decoder, log);
+    this.intake = new EntryReader(decoder, log);
     this.reports = new StatusReports(clockNanos);
     this.clockNanos = clockNanos;
     this.log = log;
@@ -139,7 +139,7 @@
     if (before == null || !entry.box().equals(before.box())) {
       recentChanges.add(record);
     }
-    if (!history.holdsBack(entry, clockNanos.getAsLong())) {
+    if (!history.holdBackIfRemoved(entry, clockNanos.getAsLong())) {
       admit(entry);
     }
   }
@@ -198,7 +198,7 @@
    * requests, whatever the state of its entry.
    */
   public void noteLeaving(Incarnation upstream) {
-    history.noteSaidLeaving(upstream);
+    history.noteAnnouncedLeaving(upstream);
     FleetBox box = boxes.get(upstream.id());
     if (box == null || box.isLeaving() || !box.incarnation().equals(upstream)) {
       return;
@@ -266,7 +266,7 @@
 
   /** Takes over the entries that were held back, once the report that stood against them is old. */
   private void takeHeldBackEntries() {
-    for (String id : reports.takeOutdated()) {
+    for (String id : reports.takeReleased()) {
       ListedEntry entry = entries.get(id);
       if (entry != null && boxes.containsKey(id) && !formerIncarnations.contains(entry.box())) {
         put(entry.box());
@@ -276,7 +276,7 @@
 
   /** Lets entries count that a copy of the store brought back, once nothing contradicted them. */
   private void takeBroughtBackEntries() {
-    for (String id : history.takeNoLongerHeld(clockNanos.getAsLong())) {
+    for (String id : history.takeReleased(clockNanos.getAsLong())) {
       ListedEntry entry = entries.get(id);
       if (entry != null) {
         admit(entry);
@@ -385,7 +385,7 @@
    * Returns true if nothing depends on an upstream off the list, or a later one is listed there.
    */
   private boolean mayForget(FleetBox box) {
-    return box.domain() == null || addresses.isAwaited(box.address());
+    return box.domain() == null || addresses.hasWaiting(box.address());
   }
 
   /**
--- a/edge/src/main/java/org/shoreroad/edge/sync/StatusReports.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StatusReports.java
@@ -75,7 +75,7 @@
    * <p>An upstream writes no further entry while nothing changes, so a report that has become wrong
    * would stay in force.
    */
-  Set<String> takeOutdated() {
+  Set<String> takeReleased() {
     if (mayBeOfCopy()) {
       return Set.of();
     }
--- a/edge/src/test/java/org/shoreroad/edge/sync/AddressTableTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/AddressTableTest.java
@@ -31,11 +31,11 @@
   @Test
   void anEntryThatWaitsGetsTheAddressWhenItIsReleased() {
     table.assign(entry("a", 1, 9));
-    table.await(entry("b", 2, 4));
-    assertThat(table.isAwaited("h:1"), is(true));
+    table.addWaiting(entry("b", 2, 4));
+    assertThat(table.hasWaiting("h:1"), is(true));
     assertThat(table.release(entry("a", 1, 9).box()), is(Optional.of(entry("b", 2, 4))));
     assertThat(table.find("h:1"), is(nullValue()));
-    assertThat(table.isAwaited("h:1"), is(false));
+    assertThat(table.hasWaiting("h:1"), is(false));
   }
 
   @Test
@@ -50,7 +50,7 @@
   void theReleaseOfAFormerHolderChangesNothing() {
     table.assign(entry("a", 1, 3));
     table.assign(entry("b", 1, 9));
-    table.await(entry("c", 2, 4));
+    table.addWaiting(entry("c", 2, 4));
     assertThat(table.release(entry("a", 1, 3).box()), is(Optional.empty()));
     assertThat(table.find("h:1"), is("b"));
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeaseTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeaseTest.java
@@ -41,7 +41,7 @@
     assertThat(lease.isHeld(), is(false));
     pass(700_000_000L);
     assertThat(lease.isHeld(), is(true));
-    assertThat(lease.fence(), is(7L));
+    assertThat(lease.fencingNumber(), is(7L));
     store.failWith(StoreFault.NO_ANSWER);
     pass(1_000_000_000L);
     pass(1_000_000_000L);
@@ -105,7 +105,7 @@
     long second = lease.nextEpoch();
     store.grant(new PartitionGrant(StoreEra.NONE, 8, Set.of(0)));
     pass(900_000_000L);
-    assertThat(lease.fence(), is(8L));
+    assertThat(lease.fencingNumber(), is(8L));
     long third = lease.nextEpoch();
     assertThat(first < second && second < third, is(true));
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
@@ -104,7 +104,7 @@
     }
 
     private void step() {
-      store.keepCopy();
+      store.saveCopy();
       long nanos = TimeUnit.MILLISECONDS.toNanos(STEP_MS);
       nowNanos += nanos;
       channel.advanceTimeBy(nanos, TimeUnit.NANOSECONDS);
@@ -145,15 +145,15 @@
           begin(change, processes.firstKey());
         }
         if (step == BACK_STEP && change == Change.CUT_FOR_A_WHILE) {
-          processes.keySet().forEach(store::heal);
+          processes.keySet().forEach(store::reconnect);
           tellEra();
         }
         if (step == drill.atStep()) {
-          store.setAway(true);
+          store.setUnavailable(true);
         }
         if (step == drill.atStep() + drill.awaySteps()) {
-          store.goBack(TimeUnit.MILLISECONDS.toNanos(drill.ageMs()), drill.doTimesWait());
-          store.setAway(false);
+          store.restoreCopy(TimeUnit.MILLISECONDS.toNanos(drill.ageMs()), drill.doTimesWait());
+          store.setUnavailable(false);
           tellEra();
         }
         step();
@@ -168,7 +168,7 @@
     private void tellEra() {
       processes.forEach(
           (name, leases) -> {
-            if (!store.isCut(name) && store.era() > toldEras.getOrDefault(name, 1L)) {
+            if (!store.isDisconnected(name) && store.era() > toldEras.getOrDefault(name, 1L)) {
               toldEras.put(name, store.era());
               leases.noteEra();
             }
@@ -186,7 +186,7 @@
     private void begin(Change change, String fallback) {
       String owner = lastHolder.isEmpty() ? fallback : lastHolder;
       switch (change) {
-        case KILL, CUT_FOR_A_WHILE -> store.cut(owner);
+        case KILL, CUT_FOR_A_WHILE -> store.disconnect(owner);
         case LEAVE -> processes.get(owner).leave();
         default -> {
           // The domain stays where it is.
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
@@ -122,7 +122,7 @@
 
   private void kill(String name) {
     dead.add(name);
-    store.cut(name);
+    store.disconnect(name);
   }
 
   @Test
@@ -196,7 +196,7 @@
     startProcesses(7);
     run(8_000);
     // It still hears the others, and they hear it.
-    store.cut(owners().get("llm/d3"));
+    store.disconnect(owners().get("llm/d3"));
     run(8_000);
     assertThat(owners().size(), is(6));
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/EntryHistoryTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/EntryHistoryTest.java
@@ -48,10 +48,10 @@
   @Test
   void aRemovedEntryOfACopyIsHeldBackForATime() {
     history.noteRemoved(entry(false, 7, 1, 3).box(), StorePosition.of(1, 9));
-    assertThat(history.holdsBack(entry(false, 7, 1, 12), 0), is(false));
-    assertThat(history.holdsBack(entry(false, 7, 2, 4), 0), is(true));
-    assertThat(history.takeNoLongerHeld(EntryHistory.HOLD_NANOS - 1), empty());
-    assertThat(history.takeNoLongerHeld(EntryHistory.HOLD_NANOS), contains("a"));
-    assertThat(history.holdsBack(entry(false, 7, 2, 4), EntryHistory.HOLD_NANOS), is(false));
+    assertThat(history.holdBackIfRemoved(entry(false, 7, 1, 12), 0), is(false));
+    assertThat(history.holdBackIfRemoved(entry(false, 7, 2, 4), 0), is(true));
+    assertThat(history.takeReleased(EntryHistory.HOLD_NANOS - 1), empty());
+    assertThat(history.takeReleased(EntryHistory.HOLD_NANOS), contains("a"));
+    assertThat(history.holdBackIfRemoved(entry(false, 7, 2, 4), EntryHistory.HOLD_NANOS), is(false));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FakeGroups.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FakeGroups.java
@@ -55,22 +55,22 @@
   }
 
   /** Loses all calls of a member. */
-  void cut(String member) {
+  void disconnect(String member) {
     cutMembers.add(member);
   }
 
   /** Takes calls of a member again. */
-  void heal(String member) {
+  void reconnect(String member) {
     cutMembers.remove(member);
   }
 
   /** Keeps a copy, from which the store may come back. */
-  void keepCopy() {
+  void saveCopy() {
     copies.addLast(new Copy(clockNanos.getAsLong(), copyOf(groups, 0)));
   }
 
   /** Answers nobody, or answers again. */
-  void setAway(boolean away) {
+  void setUnavailable(boolean away) {
     isAway = away;
   }
 
@@ -79,7 +79,7 @@
    *
    * @param doTimesWait true if members have as much time left as they had in the copy
    */
-  void goBack(long ageNanos, boolean doTimesWait) {
+  void restoreCopy(long ageNanos, boolean doTimesWait) {
     long nowNanos = clockNanos.getAsLong();
     while (copies.size() > 1 && copies.getLast().takenNanos() > nowNanos - ageNanos) {
       copies.removeLast();
@@ -101,7 +101,7 @@
   }
 
   /** Returns true if all calls of a member are lost. */
-  boolean isCut(String member) {
+  boolean isDisconnected(String member) {
     return cutMembers.contains(member);
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/sync/FakeStore.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FakeStore.java
@@ -31,7 +31,7 @@
   }
 
   /** Comes back from a copy that lacks the last records; their offsets are assigned again. */
-  void goBack(int lost) {
+  void restoreOlderCopy(int lost) {
     era++;
     records.subList(records.size() - lost, records.size()).clear();
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowerAndFleetTest.java
@@ -18,8 +18,8 @@
 import org.shoreroad.fleet.ReplicaId;
 
 /** Following a topic, and the fleet made of it; with a clock that the test turns. */
-class FollowingTest extends FollowerFixture {
-  private final Fleet fleet = new Fleet(FollowingTest::decode, () -> nowNanos, log);
+class FollowerAndFleetTest extends FollowerFixture {
+  private final Fleet fleet = new Fleet(FollowerAndFleetTest::decode, () -> nowNanos, log);
 
   private static FleetBox decode(String id, byte[] entry) {
     String text = new String(entry, StandardCharsets.UTF_8);
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -45,7 +45,7 @@
   void recordsAtOffsetsAssignedAgainAreReadByThoseWhoReadOn() {
     put(3);
     follower.start();
-    store.goBack(2);
+    store.restoreOlderCopy(2);
     store.put("b", "leaving");
     store.put("c", "1");
     store.put("d", "1");
@@ -59,7 +59,7 @@
     put(3);
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
-    store.goBack(2);
+    store.restoreOlderCopy(2);
     store.put("b", "leaving");
     for (int i = 0; i < 5; i++) {
       follower.applyPeerUpdate(told(at(2, 1), at(2, 2)), nowNanos);
@@ -71,7 +71,7 @@
   @Test
   void aPeerOfAnEarlierEraProvesNothing() {
     put(3);
-    store.goBack(2);
+    store.restoreOlderCopy(2);
     follower.start();
     long provenNanos = follower.provenNanos();
     nowNanos += SECOND_NANOS;
@@ -99,7 +99,7 @@
     put(3);
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
-    store.goBack(2);
+    store.restoreOlderCopy(2);
     store.put("b", "1");
     follower.acceptPeerProof(at(2, 2), nowNanos);
     pass(SECOND_NANOS);
@@ -114,7 +114,7 @@
     follower.start();
     long provenNanos = follower.provenNanos();
     follower.applyPeerUpdate(told(at(1, 3), at(1, 3)), nowNanos);
-    store.goBack(2);
+    store.restoreOlderCopy(2);
     put(3);
     nowNanos += SECOND_NANOS / 10;
     follower.renewProof();
@@ -128,7 +128,7 @@
     follower.setListingDelay(() -> 400);
     follower.start();
     int calls = store.calls().size();
-    store.goBack(2);
+    store.restoreOlderCopy(2);
     follower.applyPeerUpdate(told(at(1, 3), at(1, 3)), nowNanos);
     follower.noteEra(2);
     follower.noteEra(2);
