--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -19,19 +19,19 @@
  * View of the upstreams, merged from the list of the store and from newer reports that the
  * upstreams returned directly.
  *
- * <p>An entry that is taken away may come back: while the store was out of reach entries lapse, and
- * they are back within two seconds of its return if the upstream runs. An upstream that is off the
- * list gets no more requests; but a box of a replica stays known until it is dead for certain,
- * since it may run on without the store. Where another upstream is listed at the same address
- * later, the former one is over. Used on the event loop.
+ * <p>A removed entry may come back: entries lapse while the store is unreachable, and a running
+ * upstream writes its entry again within two seconds of the store's return. An upstream that is off
+ * the list receives no more requests. A box of a replica is kept until its death is certain, since
+ * it may run on without the store. If another upstream is listed later at the same address, the
+ * former one has ended. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 public final class Fleet implements TopicFollower.Listener {
-  /** Entries that lapsed in an outage are back within about two seconds. */
-  private static final long RETURN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
+  /** Entries that lapsed in a store outage are written again within about two seconds. */
+  private static final long ENTRY_RETURN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
 
-  private final EntryReader intake;
+  private final EntryReader entryReader;
   private final StatusReports reports;
   private final LongSupplier clockNanos;
   private final EventLog log;
@@ -50,40 +50,41 @@
 
   /** Creates an empty fleet. */
   public Fleet(Decoder decoder, LongSupplier clockNanos, EventLog log) {
-    this.intake = new EntryReader(decoder, log);
+    this.entryReader = new EntryReader(decoder, log);
     this.reports = new StatusReports(clockNanos);
     this.clockNanos = clockNanos;
     this.log = log;
   }
 
-  /** Adds a listener that hears of each upstream that is gone for good. */
+  /** Adds a listener that is called with each upstream that was removed for good. */
   public void addRemovalListener(Consumer<FleetBox> listener) {
     removalListeners.add(listener);
   }
 
   /**
-   * Sets which services are declared. An entry of another service is passed over.
+   * Sets which services are declared. An entry of another service is ignored.
    *
-   * @param check true for a declared service, and for all while no configuration is known, not null
+   * @param check returns true for a declared service, and for every service while no configuration
+   *     is known, not null
    */
   public void setServiceCheck(Predicate<String> check) {
-    intake.setServiceCheck(check);
+    entryReader.setServiceCheck(check);
   }
 
-  /** Sets what counts the entries that name no upstream to use, by what is wrong with them. */
+  /** Sets the listener that is called with the fault of each unusable entry. */
   public void setFaultListener(Consumer<EntryFault> listener) {
-    intake.setFaultListener(listener);
+    entryReader.setFaultListener(listener);
   }
 
-  /** Sets what counts the entries and reports of former incarnations, by which of both it is. */
+  /** Sets the listener for drops of former incarnations: {@code "entry"} or {@code "report"}. */
   public void setFormerIncarnationListener(Consumer<String> listener) {
     formerIncarnations.setListener(listener);
   }
 
-  /** Forgets the upstreams of services that are not declared, once the declared ones are known. */
+  /** Removes the upstreams of services that are not declared. */
   public void dropUndeclared() {
     for (FleetBox box : List.copyOf(boxes.values())) {
-      if (!intake.isDeclared(box)) {
+      if (!entryReader.isDeclared(box)) {
         entries.remove(box.id());
         forget(box.id());
       }
@@ -112,12 +113,12 @@
       remove(record);
       return;
     }
-    intake
+    entryReader
         .read(record.key(), value)
         .map(entry -> new ListedEntry(entry, record.position()))
         .filter(entry -> !formerIncarnations.dropsEntry(entry))
         .map(history::withKnownLeaving)
-        .ifPresent(entry -> takeEntry(entry, record));
+        .ifPresent(entry -> applyEntry(entry, record));
   }
 
   private void remove(StoreRecord record) {
@@ -132,7 +133,7 @@
     }
   }
 
-  private void takeEntry(ListedEntry entry, StoreRecord record) {
+  private void applyEntry(ListedEntry entry, StoreRecord record) {
     reports.noteEra(record.position().era());
     // Most records are heartbeats of upstreams in which nothing has changed.
     ListedEntry before = entries.put(entry.box().id(), entry);
@@ -140,12 +141,12 @@
       recentChanges.add(record);
     }
     if (!history.holdBackIfRemoved(entry, clockNanos.getAsLong())) {
-      admit(entry);
+      apply(entry);
     }
   }
 
-  /** Ends all that is known of an incarnation that another one has followed. */
-  private void endFormer(FleetBox former, FleetBox next, StorePosition endedBy) {
+  /** Removes an incarnation that was replaced by the next one, with all state kept for it. */
+  private void endIncarnation(FleetBox former, FleetBox next, StorePosition endedBy) {
     formerIncarnations.add(former, endedBy);
     log.write(
         "upstream_restarted",
@@ -158,17 +159,17 @@
     forget(former.id());
   }
 
-  /** Puts an entry in force, unless another upstream holds its address. */
-  private void admit(ListedEntry entry) {
+  /** Applies an entry, unless another upstream holds its address. */
+  private void apply(ListedEntry entry) {
     FleetBox known = boxes.get(entry.box().id());
     if (known != null && entry.box().isOtherIncarnationOf(known)) {
       if (!addresses.isAfter(entry, known.id())) {
-        // A copy of the store may hold the entry of an incarnation that was over before.
+        // A copy of the store may hold the entry of an incarnation that has already ended.
         return;
       }
-      endFormer(known, entry.box(), entry.position());
+      endIncarnation(known, entry.box(), entry.position());
     }
-    if (takeAddress(entry)) {
+    if (assignAddress(entry)) {
       history.noteEntry(entry);
       put(entry.box());
     }
@@ -187,15 +188,15 @@
         noteListChange();
       }
     }
-    // Entries come in the order of their keys: the holder of an address may have come later.
+    // A listing is in the order of the keys, so the holder of an address may follow its successor.
     addresses.takeWaiting().stream()
         .filter(entry -> entry.equals(entries.get(entry.box().id())))
-        .forEach(this::admit);
+        .forEach(this::apply);
   }
 
   /**
-   * Records that an upstream has announced in an answer that it is about to end: it gets no more
-   * requests, whatever the state of its entry.
+   * Records that an upstream has announced in a response that it is about to end. It receives no
+   * more requests, whatever its entry states.
    */
   public void noteLeaving(Incarnation upstream) {
     history.noteAnnouncedLeaving(upstream);
@@ -203,13 +204,13 @@
     if (box == null || box.isLeaving() || !box.incarnation().equals(upstream)) {
       return;
     }
-    keep(box.withLeaving());
+    replaceBox(box.withLeaving());
     noteListChange();
     log.write("upstream_leaving", "upstream", upstream.id(), "bornMs", upstream.bornMs());
   }
 
-  /** Returns true unless another upstream, whose entry may be later, holds the address. */
-  private boolean takeAddress(ListedEntry entry) {
+  /** Assigns the address unless another upstream with a possibly later entry holds it. */
+  private boolean assignAddress(ListedEntry entry) {
     String other = addresses.otherAt(entry.box());
     if (!addresses.mayTake(entry)) {
       return false;
@@ -225,13 +226,13 @@
   private void put(FleetBox listed) {
     FleetBox before = boxes.get(listed.id());
     FleetBox box = before == null ? listed : reports.withNewerState(before, listed);
-    keep(box);
+    replaceBox(box);
     lastModels.note(box);
-    boolean wasRemoved = unlisted.remove(box.id());
-    boolean isOtherwiseListed = before == null || before.isLeaving() != box.isLeaving();
-    if (wasRemoved || isOtherwiseListed) {
+    boolean wasUnlisted = unlisted.remove(box.id());
+    boolean isNewOrLeavingChanged = before == null || before.isLeaving() != box.isLeaving();
+    if (wasUnlisted || isNewOrLeavingChanged) {
       noteListChange();
-      if (isOtherwiseListed) {
+      if (isNewOrLeavingChanged) {
         log.write(
             "upstream_listed",
             "upstream",
@@ -247,7 +248,7 @@
   }
 
   /** Stores the latest state of an upstream and updates the index and the counters. */
-  private void keep(FleetBox box) {
+  private void replaceBox(FleetBox box) {
     FleetBox before = boxes.put(box.id(), box);
     if (box.equals(before)) {
       return;
@@ -264,8 +265,8 @@
     targetChanges++;
   }
 
-  /** Takes over the entries that were held back, once the report that stood against them is old. */
-  private void takeHeldBackEntries() {
+  /** Applies the entries whose overriding report has become old. */
+  private void applyOverriddenEntries() {
     for (String id : reports.takeReleased()) {
       ListedEntry entry = entries.get(id);
       if (entry != null && boxes.containsKey(id) && !formerIncarnations.contains(entry.box())) {
@@ -274,25 +275,25 @@
     }
   }
 
-  /** Lets entries count that a copy of the store brought back, once nothing contradicted them. */
-  private void takeBroughtBackEntries() {
+  /** Applies the entries that a copy of the store brought back and that nothing contradicted. */
+  private void applyRestoredEntries() {
     for (String id : history.takeReleased(clockNanos.getAsLong())) {
       ListedEntry entry = entries.get(id);
       if (entry != null) {
-        admit(entry);
+        apply(entry);
       }
     }
   }
 
-  /** Returns the model that the box held last in this incarnation, or null if it is not known. */
+  /** Returns the model that the box last held in this incarnation, or null if it is not known. */
   public @Nullable String lastModel(String id) {
     return lastModels.find(id);
   }
 
   /**
-   * Takes over what an engine has just said to this process of model, host and replica.
+   * Applies the model, staged models and replica that an engine has just reported to this process.
    *
-   * @return true if that changed something
+   * @return true if the known state changed
    */
   public boolean update(FleetBox report) {
     FleetBox before = boxes.get(report.id());
@@ -307,10 +308,10 @@
   }
 
   /**
-   * Takes over what an engine has said to a peer. It does not tell of a later incarnation: a peer's
-   * report may be late, and the entry of a later one follows within a heartbeat.
+   * Applies what an engine has reported to a peer. Such a report never starts a later incarnation:
+   * it may be late, and the entry of a later incarnation follows within a heartbeat.
    *
-   * @return true if that changed something
+   * @return true if the known state changed
    */
   public boolean updateByPeer(FleetBox report) {
     FleetBox before = boxes.get(report.id());
@@ -327,44 +328,44 @@
     if (after.equals(before)) {
       return false;
     }
-    keep(after);
+    replaceBox(after);
     lastModels.note(after);
     return true;
   }
 
-  /** Goes by the report of a later incarnation, whose entry has not been read yet. */
+  /** Replaces an incarnation by the reported later one, whose entry has not been read yet. */
   private void restart(FleetBox before, FleetBox report) {
     UnlistedUpstreams.Absence absence = unlisted.find(before.id());
-    endFormer(before, report, StorePosition.NONE);
+    endIncarnation(before, report, StorePosition.NONE);
     FleetBox after =
         before
             .withStart(report.bornMs())
             .withEngineState(report.model(), report.stagedModels(), report.membership());
     addresses.assign(after);
     reports.note(report);
-    keep(after);
+    replaceBox(after);
     lastModels.note(after);
-    // An answer does not put an upstream on the list: it may be about to end.
+    // A report does not put an upstream on the list, because the upstream may be about to end.
     unlisted.put(after.id(), absence);
     noteListChange();
   }
 
   /**
-   * Brings the upstreams in line with the list: takes those off whose entries are gone for good,
-   * and goes by entries again that an engine's report stood against.
+   * Reconciles the upstreams with the list: takes off those whose entries have not come back, and
+   * applies entries that were overridden or held back.
    *
-   * @param storeReachableNanos how long the store has answered without a fault
+   * @param storeReachableNanos how long the store has answered without a fault, in nanoseconds
    */
   public void reconcile(long storeReachableNanos) {
-    if (storeReachableNanos < RETURN_NANOS) {
+    if (storeReachableNanos < ENTRY_RETURN_NANOS) {
       return;
     }
-    takeHeldBackEntries();
-    takeBroughtBackEntries();
+    applyOverriddenEntries();
+    applyRestoredEntries();
     long nowNanos = clockNanos.getAsLong();
     for (String id : unlisted.ids()) {
       FleetBox box = boxes.get(id);
-      // Forgetting one upstream may let another one take its place on the list.
+      // Removing one upstream may release its address to another one and put that on the list.
       if (box != null && unlisted.contains(id)) {
         reconcile(box, nowNanos);
       }
@@ -382,71 +383,72 @@
   }
 
   /**
-   * Returns true if nothing depends on an upstream off the list, or a later one is listed there.
+   * Returns true if the upstream is in no fabric domain, or another entry waits for its address.
    */
   private boolean mayForget(FleetBox box) {
     return box.domain() == null || addresses.hasWaiting(box.address());
   }
 
   /**
-   * Adds an upstream that the list does not hold, so that it can be asked; it gets no requests.
+   * Adds an upstream that is not on the list, so that its status can be queried. It receives no
+   * requests.
    *
-   * @return false if the address belongs to another upstream by now, so that this one is over
+   * @return false if the address belongs to another upstream by now, so that this one has ended
    */
   public boolean addUnlisted(FleetBox box) {
     if (addresses.find(box.address()) != null) {
       return boxes.containsKey(box.id());
     }
     addresses.assign(box);
-    keep(box);
+    replaceBox(box);
     unlisted.addFinal(box.id(), clockNanos.getAsLong());
     noteListChange();
     log.write("upstream_unlisted_known", "upstream", box.id(), "address", box.address());
     return true;
   }
 
-  /** Forgets an upstream that is dead for certain. */
+  /** Removes an upstream that has ended for certain, and notifies the removal listeners. */
   public void forget(String id) {
-    FleetBox gone = boxes.remove(id);
+    FleetBox removed = boxes.remove(id);
     unlisted.remove(id);
     reports.forget(id);
     lastModels.forget(id);
-    if (gone != null) {
-      domainIndex.remove(gone);
+    if (removed != null) {
+      domainIndex.remove(removed);
       noteListChange();
-      log.write("upstream_gone", "upstream", id, "address", gone.address());
-      removalListeners.forEach(listener -> listener.accept(gone));
+      log.write("upstream_gone", "upstream", id, "address", removed.address());
+      removalListeners.forEach(listener -> listener.accept(removed));
       addresses
-          .release(gone)
+          .release(removed)
           .filter(entry -> entry.equals(entries.get(entry.box().id())))
-          .ifPresent(this::admit);
+          .ifPresent(this::apply);
     }
   }
 
-  /** Returns the newest records that changed something. */
+  /** Returns the newest records that changed an entry. */
   public RecentChanges recentChanges() {
     return recentChanges;
   }
 
-  /** Returns true if the upstream may be given requests, as far as the list goes. */
+  /** Returns true if the upstream has an entry, or lost it so recently that it may come back. */
   public boolean isEligible(String id) {
     return boxes.containsKey(id) && !unlisted.isFinal(id);
   }
 
-  /** Returns a counter of the upstreams that were added, removed, or started to leave. */
+  /** Returns the number of times an upstream was added, removed or started to leave. */
   public long listChanges() {
     return listChanges;
   }
 
   /**
-   * Returns a counter of the changes that affect routing: list changes, plain upstreams and open
+   * Returns the number of changes that affect routing: list changes, plain upstreams and open
    * heads. With 925 boxes other changes are frequent, and routing tables need no rebuild for them.
    */
   public long targetChanges() {
     return targetChanges;
   }
 
-  /** Returns all upstreams that are known. */
+  /** Returns all known upstreams, listed or not. */
   public Collection<FleetBox> boxes() {
     return boxes.values();
   }
@@ -456,17 +458,17 @@
     return boxes.get(id);
   }
 
-  /** Returns true if the list still holds the upstream. */
+  /** Returns true if the upstream has an entry in the list at present. */
   public boolean isListed(String id) {
     return boxes.containsKey(id) && !unlisted.contains(id);
   }
 
-  /** Reads an entry of the list. */
+  /** Decoder of the entries of the list. */
   public interface Decoder {
     /**
-     * Returns the upstream.
+     * Returns the upstream that an entry describes.
      *
-     * @throws UnusableEntryException if the entry names no upstream to use
+     * @throws UnusableEntryException if the entry describes no usable upstream
      */
     FleetBox decode(String id, byte[] entry);
   }
