--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -12,28 +12,29 @@
 import org.shoreroad.edge.EventLog;
 
 /**
- * Follows a keyed topic of the store: first the newest of each key, then every record.
+ * Follower of a keyed topic of the store: reads the newest record of each key, then every record.
  *
- * <p>A long wait in the store tells a change at once; when no change comes, its end still proves
- * that nothing was missed. The proof counts from the sending of the read.
+ * <p>Reads are long polls: the store answers as soon as there is a record, or when the wait ends.
+ * Either answer proves that no record was missed up to the time at which the read was sent.
  *
- * <p>A position of one era tells nothing about the records of another one: after a new era the
- * offsets below it may belong to records that were never read. So nothing is read on, proved or
- * taken from a peer over eras; the topic is listed anew. Used on the event loop.
+ * <p>Positions of different eras can't be compared: in a new era, the offsets below a position may
+ * belong to records that were never read. So reads, proofs and updates from peers never continue
+ * from one era into another; the topic is listed again instead. Not thread-safe: used on the event
+ * loop.
  *
  * @since 0.2
  */
 public final class TopicFollower {
-  /** The pause after a fault; doubled up to the longest, so that a store in need is left alone. */
+  /** Pause after the first fault. It doubles up to the longest, so as not to overload the store. */
   private static final int SHORTEST_PAUSE_MS = 100;
 
   private static final int LONGEST_PAUSE_MS = 800;
 
-  /** What a peer told counts this long: five heartbeats. */
-  private static final long TOLD_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /** Time for which an update from a peer replaces reads: five heartbeats. */
+  private static final long PEER_UPDATE_VALID_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** While this process does not read the topic, it checks this often whether it has to again. */
-  private static final int TOLD_CHECK_MS = 200;
+  /** Interval of the check whether this process has to read the topic itself again. */
+  private static final int SUSPENDED_CHECK_MS = 200;
 
   private final Topic topic;
   private final Store store;
@@ -46,28 +47,28 @@
   private final Set<String> listedKeys = new HashSet<>();
   private StorePosition next = StorePosition.NONE;
 
-  /** Counts listings; an answer to a call of an earlier one is passed over. */
-  private int round;
+  /** Number of the current listing. Answers to calls of an earlier one are ignored. */
+  private int listingNumber;
 
   private boolean isListing;
 
-  private long dueEra = StorePosition.UNKNOWN_ERA;
+  private long pendingEra = StorePosition.UNKNOWN_ERA;
   private IntSupplier listingDelayMs = () -> 0;
   private long provenNanos;
   private boolean isCurrent;
   private boolean isReachable;
-  private boolean readsItself = true;
+  private boolean isReading = true;
   private long reachableSinceNanos;
   private int pauseMs = SHORTEST_PAUSE_MS;
-  private BooleanSupplier isSpared = () -> false;
-  private BooleanSupplier isNeedless = () -> false;
-  private long longestRestNanos;
-  private long toldProofNanos;
-  private long toldNanos = Long.MIN_VALUE / 2;
-  private long toldReachableNanos;
+  private BooleanSupplier doPeersRead = () -> false;
+  private BooleanSupplier isUnneeded = () -> false;
+  private long longestSuspensionNanos;
+  private long maxPeerProofAgeNanos;
+  private long peerUpdateNanos = Long.MIN_VALUE / 2;
+  private long peerReachableNanos;
 
   /**
-   * Creates a follower; {@link #start} begins.
+   * Creates a follower; {@link #start} begins to read.
    *
    * @param waitMs how long a read waits in the store, in milliseconds
    * @param minIntervalMs supplies the minimum time between two reads, in milliseconds
@@ -95,63 +96,63 @@
    * Sets the condition under which peers read the topic for this process. Without recent heartbeats
    * or a recent proof this process reads the topic itself.
    *
-   * @param isTold true while peers read for this process, not null
+   * @param condition returns true while peers read for this process, not null
    * @param proofMs the maximum age of their proof that no change was missed, in milliseconds
    */
-  public void readThroughPeersWhile(BooleanSupplier isTold, int proofMs) {
-    isSpared = isTold;
-    toldProofNanos = TimeUnit.MILLISECONDS.toNanos(proofMs);
+  public void readThroughPeersWhile(BooleanSupplier condition, int proofMs) {
+    doPeersRead = condition;
+    maxPeerProofAgeNanos = TimeUnit.MILLISECONDS.toNanos(proofMs);
   }
 
   /**
-   * Sets the condition under which this process does without what is new in the topic. It reads on
-   * from where it stopped once the condition ends.
+   * Sets the condition under which this process suspends its reads of the topic. Once the condition
+   * ends, reads continue from the last position.
    *
-   * @param condition true while nothing of the topic is needed, not null
-   * @param longestMs the longest time without a read all the same, in milliseconds
+   * @param condition returns true while nothing of the topic is needed, not null
+   * @param longestMs the longest time without a read even then, in milliseconds
    */
   public void suspendReadsWhile(BooleanSupplier condition, int longestMs) {
-    isNeedless = condition;
-    longestRestNanos = TimeUnit.MILLISECONDS.toNanos(longestMs);
+    isUnneeded = condition;
+    longestSuspensionNanos = TimeUnit.MILLISECONDS.toNanos(longestMs);
   }
 
   /**
-   * Sets how long this process waits before it lists the topic anew because another call, or a
-   * peer, has told of a new era. All processes hear of it at the same time, and the store takes a
-   * limited number of calls.
+   * Sets the delay before the topic is listed again because another call or a peer has reported a
+   * new era. All processes learn of it at the same time and the store accepts a limited number of
+   * calls, so the delays spread the listings.
    *
-   * @param delayMs gives a delay in milliseconds, another one at each call, not null
+   * @param delayMs supplies a delay in milliseconds, a different one at each call, not null
    */
   public void setListingDelay(IntSupplier delayMs) {
     listingDelayMs = delayMs;
   }
 
-  /** Begins to follow. */
+  /** Starts following the topic. */
   public void start() {
     list();
   }
 
-  /** Takes note of the era of an answer to another call, or of a peer. */
+  /** Records the era of an answer to another call or of a peer; a new era causes a listing. */
   public void noteEra(long era) {
-    if (!isCurrent || era <= next.era() || era <= dueEra) {
+    if (!isCurrent || era <= next.era() || era <= pendingEra) {
       return;
     }
-    dueEra = era;
-    loop.schedule(this::listIfDue, listingDelayMs.getAsInt(), TimeUnit.MILLISECONDS);
+    pendingEra = era;
+    loop.schedule(this::listIfPending, listingDelayMs.getAsInt(), TimeUnit.MILLISECONDS);
   }
 
-  private void listIfDue() {
-    if (next.era() < dueEra && !isListing) {
-      listAnew();
+  private void listIfPending() {
+    if (next.era() < pendingEra && !isListing) {
+      listAgain();
     }
   }
 
-  /** Returns true once the newest of every key was read. */
+  /** Returns true once the newest record of every key was read. */
   public boolean isCurrent() {
     return isCurrent;
   }
 
-  /** Returns the time on the steady clock up to which nothing was missed. */
+  /** Returns the time up to which no record was missed, in nanoseconds of the steady clock. */
   public long provenNanos() {
     return provenNanos;
   }
@@ -161,48 +162,51 @@
     return next;
   }
 
-  /** Returns how long the store has answered without a fault, or 0 if the last call failed. */
+  /**
+   * Returns how long the store has answered without a fault, in nanoseconds; 0 if the last call
+   * failed. While peers read for this process this is the time that the peer reported.
+   */
   public long reachableForNanos() {
-    if (isTold()) {
-      return toldReachableNanos;
+    if (isCoveredByPeers()) {
+      return peerReachableNanos;
     }
     return isReachable ? clockNanos.getAsLong() - reachableSinceNanos : 0;
   }
 
-  /** Takes over what a peer has proved, if this process has read as far in the same era. */
+  /** Accepts a peer's proof if this process has read as far in the same era. */
   public void acceptPeerProof(StorePosition peerNext, long peerProvenNanos) {
     if (isCurrent && next.hasReached(peerNext)) {
       provenNanos = Math.max(provenNanos, peerProvenNanos);
-      toldNanos = clockNanos.getAsLong();
+      peerUpdateNanos = clockNanos.getAsLong();
     } else if (peerNext.era() >= next.era()) {
-      // There is more to read than this peer told.
-      toldNanos = Long.MIN_VALUE / 2;
+      // The peer has read further, so this process has to read the rest itself.
+      peerUpdateNanos = Long.MIN_VALUE / 2;
       noteEra(peerNext.era());
     }
   }
 
-  /** Takes over a stretch that a peer has read, if nothing is missing before it. */
+  /** Applies the records that a peer has read, if this process lacks none before them. */
   public void applyPeerUpdate(ListUpdate update, long peerProvenNanos) {
     noteEra(update.end().era());
     if (!isCurrent || !update.hasProof() || !next.hasReached(update.from())) {
       return;
     }
-    if (!isTold()) {
-      logTold(update);
+    if (!isCoveredByPeers()) {
+      logPeerUpdate(update);
     }
-    takeRecords(update.records());
+    passOnRecords(update.records());
     if (update.end().hasReached(next)) {
       next = update.end();
     }
-    toldNanos = clockNanos.getAsLong();
+    peerUpdateNanos = clockNanos.getAsLong();
     // The store may reject one reader and serve the others, so the most recent proof decides.
     if (peerProvenNanos >= provenNanos) {
       provenNanos = peerProvenNanos;
-      toldReachableNanos = update.reachableNanos();
+      peerReachableNanos = update.reachableNanos();
     }
   }
 
-  private void logTold(ListUpdate update) {
+  private void logPeerUpdate(ListUpdate update) {
     log.write(
         "list_told_by_peer",
         "topic",
@@ -217,51 +221,52 @@
         update.end().offset());
   }
 
-  /** Returns true if peers read for this process, and have lately told it enough. */
-  private boolean isTold() {
+  /** Returns true if peers read for this process and their last update and proof are recent. */
+  private boolean isCoveredByPeers() {
     long nowNanos = clockNanos.getAsLong();
-    return isSpared.getAsBoolean()
-        && nowNanos - toldNanos < TOLD_NANOS
-        && nowNanos - provenNanos < toldProofNanos;
+    return doPeersRead.getAsBoolean()
+        && nowNanos - peerUpdateNanos < PEER_UPDATE_VALID_NANOS
+        && nowNanos - provenNanos < maxPeerProofAgeNanos;
   }
 
-  private boolean mayRest() {
-    return isNeedless.getAsBoolean() && clockNanos.getAsLong() - provenNanos < longestRestNanos;
+  private boolean mayBeSuspended() {
+    return isUnneeded.getAsBoolean()
+        && clockNanos.getAsLong() - provenNanos < longestSuspensionNanos;
   }
 
-  private void listAnew() {
+  private void listAgain() {
     log.write("topic_listed_anew", "topic", topic, "era", next.era(), "offset", next.offset());
     list();
   }
 
   private void list() {
-    round++;
+    listingNumber++;
     isListing = true;
     listedKeys.clear();
-    readNewest("", null, clockNanos.getAsLong(), round);
+    readNewest("", null, clockNanos.getAsLong(), listingNumber);
   }
 
   private void readNewest(
-      String afterKey, @Nullable StorePosition firstEnd, long startedNanos, int ofRound) {
+      String afterKey, @Nullable StorePosition firstEnd, long startedNanos, int ofListing) {
     store.readNewest(
         topic,
         afterKey,
         new StoreCallback<>() {
           @Override
           public void onValue(StorePage page) {
-            if (ofRound != round) {
+            if (ofListing != listingNumber) {
               return;
             }
-            markReached();
+            markReachable();
             StorePosition end = firstEnd == null ? page.end() : firstEnd;
             if (!page.end().isSameEra(end)) {
-              listAnew();
+              listAgain();
               return;
             }
-            String lastKey = takeListed(page, afterKey);
-            // The pages are no snapshot: what changed since the first one is read afterwards.
+            String lastKey = passOnListed(page, afterKey);
+            // The pages are no snapshot: changes since the first page are read after the listing.
             if (page.hasMore() && !page.records().isEmpty()) {
-              readNewest(lastKey, end, startedNanos, ofRound);
+              readNewest(lastKey, end, startedNanos, ofListing);
             } else {
               finishListing(end, startedNanos);
             }
@@ -269,13 +274,13 @@
 
           @Override
           public void onFault(StoreFault fault) {
-            pauseAfter(fault, ofRound, TopicFollower.this::list);
+            pauseAfter(fault, ofListing, TopicFollower.this::list);
           }
         });
   }
 
-  /** Takes the records of a listing; returns the last key. */
-  private String takeListed(StorePage page, String afterKey) {
+  /** Passes on the records of a listing; returns the last key. */
+  private String passOnListed(StorePage page, String afterKey) {
     String lastKey = afterKey;
     for (StoreRecord record : page.records()) {
       listedKeys.add(record.key());
@@ -296,21 +301,21 @@
     next = end;
     provenNanos = Math.max(provenNanos, startedNanos);
     isCurrent = true;
-    readOn(round);
+    readNext(listingNumber);
   }
 
-  private void readOn(int ofRound) {
-    if (ofRound != round) {
+  private void readNext(int ofListing) {
+    if (ofListing != listingNumber) {
       return;
     }
-    if (isTold() || mayRest()) {
-      readsItself = false;
-      readOnAfter(TOLD_CHECK_MS, ofRound);
+    if (isCoveredByPeers() || mayBeSuspended()) {
+      isReading = false;
+      readNextAfter(SUSPENDED_CHECK_MS, ofListing);
       return;
     }
     long sentNanos = clockNanos.getAsLong();
-    if (!readsItself) {
-      readsItself = true;
+    if (!isReading) {
+      isReading = true;
       log.write("topic_read_here", "topic", topic, "era", next.era(), "offset", next.offset());
     }
     store.read(
@@ -320,39 +325,39 @@
         new StoreCallback<>() {
           @Override
           public void onValue(StorePage page) {
-            if (ofRound != round) {
+            if (ofListing != listingNumber) {
               return;
             }
-            markReached();
+            markReachable();
             if (!page.end().isSameEra(next)) {
-              listAnew();
+              listAgain();
               return;
             }
-            takeRecords(page.records());
+            passOnRecords(page.records());
             provenNanos = Math.max(provenNanos, sentNanos);
             long spentMs = TimeUnit.NANOSECONDS.toMillis(clockNanos.getAsLong() - sentNanos);
-            readOnAfter(Math.max(0, minIntervalMs.getAsInt() - spentMs), ofRound);
+            readNextAfter(Math.max(0, minIntervalMs.getAsInt() - spentMs), ofListing);
           }
 
           @Override
           public void onFault(StoreFault fault) {
-            if (fault == StoreFault.TRIMMED && ofRound == round) {
+            if (fault == StoreFault.TRIMMED && ofListing == listingNumber) {
               log.write("store_history_gone", "topic", topic, "offset", next.offset());
               list();
             } else {
-              pauseAfter(fault, ofRound, () -> readOn(ofRound));
+              pauseAfter(fault, ofListing, () -> readNext(ofListing));
             }
           }
         });
   }
 
-  private void readOnAfter(long delayMs, int ofRound) {
-    loop.schedule(() -> readOn(ofRound), delayMs, TimeUnit.MILLISECONDS);
+  private void readNextAfter(long delayMs, int ofListing) {
+    loop.schedule(() -> readNext(ofListing), delayMs, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Reads once without waiting, beside the read that waits in the store: what that one proves may
-   * be as old as its wait, and this process has just lost all proof.
+   * Sends one read without a wait, in parallel to the long poll. The proof of the long poll may be
+   * as old as its wait, and this process has just lost its proof.
    */
   public void renewProof() {
     if (!isCurrent) {
@@ -370,7 +375,7 @@
               noteEra(page.end().era());
               return;
             }
-            takeRecords(page.records());
+            passOnRecords(page.records());
             if (next.hasReached(page.end())) {
               provenNanos = Math.max(provenNanos, sentNanos);
             }
@@ -378,13 +383,13 @@
 
           @Override
           public void onFault(StoreFault fault) {
-            // The read that waits brings the proof, and the pause after faults is its own.
+            // The long poll renews the proof instead, and it alone pauses after faults.
             log.write("proof_not_renewed", "topic", topic, "fault", fault);
           }
         });
   }
 
-  private void takeRecords(List<StoreRecord> records) {
+  private void passOnRecords(List<StoreRecord> records) {
     for (StoreRecord record : records) {
       if (record.position().hasReached(next)) {
         listener.onRecord(record);
@@ -393,7 +398,7 @@
     }
   }
 
-  private void markReached() {
+  private void markReachable() {
     pauseMs = SHORTEST_PAUSE_MS;
     if (!isReachable) {
       isReachable = true;
@@ -402,33 +407,33 @@
     }
   }
 
-  private void pauseAfter(StoreFault fault, int ofRound, Runnable again) {
-    if (ofRound != round) {
+  private void pauseAfter(StoreFault fault, int ofListing, Runnable retry) {
+    if (ofListing != listingNumber) {
       return;
     }
     if (isReachable) {
       isReachable = false;
       log.write("store_lost", "topic", topic, "fault", fault);
     }
-    Runnable unlessListedAnew =
+    Runnable unlessListedAgain =
         () -> {
-          if (ofRound == round) {
-            again.run();
+          if (ofListing == listingNumber) {
+            retry.run();
           }
         };
-    loop.schedule(unlessListedAnew, pauseMs, TimeUnit.MILLISECONDS);
+    loop.schedule(unlessListedAgain, pauseMs, TimeUnit.MILLISECONDS);
     pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
   }
 
-  /** Hears the records of a topic. */
+  /** Listener for the records of a topic. */
   public interface Listener {
-    /** Tells the newest record of a key. */
+    /** Called with the newest record of a key. */
     void onRecord(StoreRecord record);
 
     /**
-     * Tells all keys of a full listing; others are gone.
+     * Called with all keys of a full listing; any other key was removed.
      *
-     * @param end from here on every record follows
+     * @param end the position from which on every record follows
      */
     default void onListed(Set<String> keys, StorePosition end) {}
   }
