--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLease.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLease.java
@@ -13,31 +13,31 @@
  * partition 0 owns the domain. A membership change in one group does not affect other domains. The
  * time to live counts from the sending of the last renewal, so a process that was paused or
  * partitioned stops before the store assigns the domain to another one. The store's era and the
- * group's generation make the fencing number of all orders in the domain, and the upper part of
- * each formation's number.
+ * group's generation make up the fencing number of all orders in the domain, which is also the
+ * upper part of each formation number.
  *
- * <p>A store that comes back from an older copy may assign the domain to a former owner while the
- * last one still goes by its lease. So after a new era only a lease that is valid without a gap is
- * held at once; any other one after a time to live, when those of the former era have ended. Used
- * on the event loop.
+ * <p>A store restored from an older copy may assign the domain to a former owner while the lease of
+ * the last owner is still valid. So after a new era a lease counts as held at once only if it was
+ * valid without a gap; any other lease is held after one time to live, when the leases of the
+ * former era have ended. Not thread-safe: used on the event loop.
  */
 final class DomainLease {
   /** Time to live of the membership: twice the minimum that the store allows. Milliseconds. */
   private static final int TTL_MS = 2_000;
 
-  /** Interval of renewals. Two fit into the time to live less the margin. */
-  private static final int RENEW_MS = 800;
+  /** Interval of renewals. Two fit into the time to live minus the safety margin. */
+  private static final int RENEWAL_INTERVAL_MS = 800;
 
   /** Delay after a renewal that failed, so that three more attempts fit after a rejected one. */
-  private static final int RENEW_AGAIN_MS = 300;
+  private static final int RENEWAL_RETRY_MS = 300;
 
-  /** Safety margin: the lease ends this much earlier here than in the store. Milliseconds. */
+  /** Safety margin by which the lease ends earlier here than in the store. Milliseconds. */
   private static final int MARGIN_MS = 300;
 
   /** Delay before the first order of a new owner, for orders of the former owner in flight. */
   private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-  /** The partition whose member owns the domain; every topic has it. */
+  /** The partition whose holder owns the domain; every topic has it. */
   private static final int OWNING_PARTITION = 0;
 
   private final LeaseStore store;
@@ -53,14 +53,14 @@
   private long validUntilNanos = Long.MIN_VALUE;
   private long heldFromNanos;
   private boolean wasGranted;
-  private boolean isLeft;
+  private boolean hasLeft;
 
   /**
    * Creates a lease that is not held; {@link #claim} joins the domain's group.
    *
-   * @param formationNumbers the numbers of this process in the domain, the same for all its leases
+   * @param formationNumbers the generator of this process for the domain, shared by all its leases
    *     there, not null
-   * @param formerLeasesEndNanos when the last lease of the store's former era ends
+   * @param formerLeasesEndNanos the time when the last lease of the store's former era ends
    */
   DomainLease(
       LeaseStore store,
@@ -84,7 +84,7 @@
 
   /** Joins the domain's group and stays in it until {@link #leave}. */
   void claim() {
-    if (isLeft) {
+    if (hasLeft) {
       return;
     }
     long sentNanos = clockNanos.getAsLong();
@@ -96,30 +96,34 @@
         new StoreCallback<>() {
           @Override
           public void onValue(PartitionGrant next) {
-            take(next, sentNanos);
-            loop.schedule(DomainLease.this::claim, RENEW_MS, TimeUnit.MILLISECONDS);
+            apply(next, sentNanos);
+            loop.schedule(DomainLease.this::claim, RENEWAL_INTERVAL_MS, TimeUnit.MILLISECONDS);
           }
 
           @Override
           public void onFault(StoreFault fault) {
-            loop.schedule(DomainLease.this::claim, RENEW_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(DomainLease.this::claim, RENEWAL_RETRY_MS, TimeUnit.MILLISECONDS);
           }
         });
   }
 
-  /** Returns when leases end that were renewed last at the given time. */
+  /** Returns the time when a lease ends that was last renewed at the given time. */
   static long endOfLeases(long renewedNanos) {
     return renewedNanos + TimeUnit.MILLISECONDS.toNanos(TTL_MS);
   }
 
-  /** Takes note that the store came back from an older copy; leases of the former era still run. */
+  /**
+   * Records that the store was restored from an older copy.
+   *
+   * @param endNanos the time when the last lease of the former era ends
+   */
   void noteEra(long endNanos) {
     formerLeasesEndNanos = endNanos;
   }
 
   /** Leaves the group, so that another process can claim the domain without waiting. */
   void leave() {
-    isLeft = true;
+    hasLeft = true;
     validUntilNanos = Long.MIN_VALUE;
     store.leave(domain, member, grant.generation());
   }
@@ -129,7 +133,7 @@
     return clockNanos.getAsLong() < validUntilNanos && ownsDomain(grant);
   }
 
-  /** Returns true if this process may give orders for the domain now. */
+  /** Returns true if this process may send orders for the domain now. */
   boolean isHeld() {
     return isGranted() && clockNanos.getAsLong() - heldFromNanos >= 0;
   }
@@ -144,7 +148,7 @@
     return clockNanos.getAsLong() - claimedNanos;
   }
 
-  /** Returns the fencing number of orders given now. */
+  /** Returns the fencing number of orders sent now. */
   long fencingNumber() {
     return grant.fencingNumber();
   }
@@ -158,8 +162,8 @@
     return grant.partitions().contains(OWNING_PARTITION);
   }
 
-  private void take(PartitionGrant next, long sentNanos) {
-    if (isLeft) {
+  private void apply(PartitionGrant next, long sentNanos) {
+    if (hasLeft) {
       return;
     }
     boolean isNewEra = next.era() != grant.era();
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -16,12 +16,12 @@
 import org.shoreroad.member.DomainClaims;
 
 /**
- * Leases of the fabric domains that this process owns: claims domains without an owner and gives up
+ * Leases of the fabric domains that this process owns: claims domains without an owner and releases
  * domains that another process owns.
  *
  * <p>Heartbeats carry the domains that each process owns. A claim is preceded by a read of the
  * owner from the store, so a process that is partitioned from the others but not from the store
- * does not displace an owner. Used on the event loop.
+ * does not displace an owner. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
@@ -33,16 +33,16 @@
   private static final long START_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
   /**
-   * Delay before claims while no heartbeat arrives, so that the loss of a hub is not taken for the
-   * loss of all processes. A hub is replaced within 2.4 s.
+   * Delay before claims while no heartbeat arrives, so that the loss of a hub is not mistaken for
+   * the loss of all processes. A hub is replaced within 2.4 s.
    */
-  private static final long UNTOLD_NANOS = TimeUnit.SECONDS.toNanos(4);
+  private static final long NO_HEARTBEAT_NANOS = TimeUnit.SECONDS.toNanos(4);
 
   /** Delay before the next claim of a domain that has an owner in the store. */
-  private static final long HELD_ELSEWHERE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long OWNED_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /** The same delay while no heartbeat arrives, when this process is most likely partitioned. */
-  private static final long HELD_WHILE_UNTOLD_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long OWNED_NO_HEARTBEAT_RETRY_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** Timeout of a claim that the store does not grant: twice the time to live. */
   private static final long UNGRANTED_NANOS = TimeUnit.SECONDS.toNanos(4);
@@ -58,20 +58,20 @@
   private final Map<String, DomainLease> leases = new HashMap<>();
   private final Map<String, FormationNumbers> formationNumbers = new HashMap<>();
   private final Set<String> beingChecked = new HashSet<>();
-  private Set<String> announced = Set.of();
-  private Runnable onChange = () -> {};
+  private Set<String> notifiedDomains = Set.of();
+  private Runnable changeListener = () -> {};
   private long startedNanos;
-  private long toldNanos;
+  private long lastHeartbeatNanos;
   private long formerLeasesEndNanos = Long.MIN_VALUE / 2;
-  private boolean isTold;
+  private boolean hasHeartbeats;
   private boolean isLeaving;
 
   /**
    * Creates an instance without leases.
    *
    * @param member the name of this incarnation of the process, not null
-   * @param peers what is known of the other processes, not null
-   * @param domains gives the keys of all fabric domains, not null
+   * @param peers the view of the other processes, not null
+   * @param domains supplies the keys of all fabric domains, not null
    */
   public DomainLeases(
       LeaseStore store,
@@ -93,52 +93,55 @@
 
   /** View of the other processes. */
   public interface Peers {
-    /** Returns the domains that they own by their heartbeats, or null while none arrives. */
+    /**
+     * Returns the domains that the other processes own according to their heartbeats, or null while
+     * no heartbeat arrives.
+     */
     @Nullable Set<String> ownedDomains();
 
     /** Returns the names of all known processes, alive or not. */
     Collection<String> names();
 
-    /** Returns how many are alive, this process among them. */
+    /** Returns the number of processes that are alive, including this one. */
     int aliveCount();
   }
 
   /** Sets the listener for changes of the domains owned by this process. */
   public void setChangeListener(Runnable listener) {
-    onChange = listener;
+    changeListener = listener;
   }
 
   /** Starts the periodic ownership check. */
   public void start() {
     startedNanos = clockNanos.getAsLong();
-    toldNanos = startedNanos;
+    lastHeartbeatNanos = startedNanos;
     new RepeatingTimer(loop, log).every(TICK_MS, "domain leases", this::tick);
   }
 
-  /** Takes note that the store came back from an older copy. */
+  /** Records that the store was restored from an older copy. */
   public void noteEra() {
     formerLeasesEndNanos = DomainLease.endOfLeases(clockNanos.getAsLong());
     leases.values().forEach(lease -> lease.noteEra(formerLeasesEndNanos));
   }
 
-  /** Gives up all domains for other processes to claim, and stops claiming. */
+  /** Releases all domains, so that other processes can claim them, and stops claiming. */
   public void leave() {
     isLeaving = true;
     leases.values().forEach(DomainLease::leave);
     leases.clear();
-    tellChanges();
+    notifyIfChanged();
   }
 
   /** Returns the domains that the store has assigned to this process. */
   public Set<String> grantedDomains() {
-    Set<String> kept = new HashSet<>();
+    Set<String> granted = new HashSet<>();
     leases.forEach(
         (domain, lease) -> {
           if (lease.isGranted()) {
-            kept.add(domain);
+            granted.add(domain);
           }
         });
-    return kept;
+    return granted;
   }
 
   /** Returns true if the store has assigned at least one domain to this process. */
@@ -146,13 +149,13 @@
     return leases.values().stream().anyMatch(DomainLease::isGranted);
   }
 
-  /** Returns true if this process may give orders for the domain now. */
+  /** Returns true if this process may send orders for the domain now. */
   public boolean holds(String domain) {
     DomainLease lease = leases.get(domain);
     return lease != null && lease.isHeld();
   }
 
-  /** Returns the fencing number of orders given now in a domain that is held. */
+  /** Returns the fencing number of orders sent now for a domain that is held. */
   public long fencingNumber(String domain) {
     return leaseOf(domain).fencingNumber();
   }
@@ -171,23 +174,25 @@
     if (isLeaving || nowNanos - startedNanos < START_NANOS) {
       return;
     }
-    Set<String> told = peers.ownedDomains();
-    isTold = told != null;
-    toldNanos = isTold ? nowNanos : toldNanos;
-    Set<String> elsewhere = told == null ? Set.of() : told;
-    giveUp(elsewhere);
-    if (isTold || nowNanos - toldNanos > UNTOLD_NANOS) {
+    Set<String> othersDomains = peers.ownedDomains();
+    hasHeartbeats = othersDomains != null;
+    lastHeartbeatNanos = hasHeartbeats ? nowNanos : lastHeartbeatNanos;
+    Set<String> ownedElsewhere = othersDomains == null ? Set.of() : othersDomains;
+    releaseLost(ownedElsewhere);
+    if (hasHeartbeats || nowNanos - lastHeartbeatNanos > NO_HEARTBEAT_NANOS) {
       Set<String> all = domains.get();
       claims
-          .due(nowNanos, all, elsewhere, leases.keySet(), peers.names())
+          .due(nowNanos, all, ownedElsewhere, leases.keySet(), peers.names())
           .forEach(this::checkThenClaim);
-      claims.toHandOn(nowNanos, grantedDomains(), all.size(), peers.aliveCount()).ifPresent(this::handOn);
+      claims
+          .toHandOn(nowNanos, grantedDomains(), all.size(), peers.aliveCount())
+          .ifPresent(this::handOver);
     }
-    tellChanges();
+    notifyIfChanged();
   }
 
   /** Leaves the groups of domains that another process owns. */
-  private void giveUp(Set<String> elsewhere) {
+  private void releaseLost(Set<String> ownedElsewhere) {
     leases
         .entrySet()
         .removeIf(
@@ -195,7 +200,7 @@
               DomainLease lease = entry.getValue();
               boolean isUngranted =
                   !lease.isGranted()
-                      && (elsewhere.contains(entry.getKey())
+                      && (ownedElsewhere.contains(entry.getKey())
                           || lease.claimAgeNanos() > UNGRANTED_NANOS);
               if (lease.isLost() || isUngranted) {
                 lease.leave();
@@ -205,7 +210,7 @@
             });
   }
 
-  private void handOn(String domain) {
+  private void handOver(String domain) {
     log.write("domain_handed_on", "domain", domain);
     leaseOf(domain).leave();
     leases.remove(domain);
@@ -238,7 +243,7 @@
   }
 
   private void postpone(String domain) {
-    long forNanos = isTold ? HELD_ELSEWHERE_NANOS : HELD_WHILE_UNTOLD_NANOS;
+    long forNanos = hasHeartbeats ? OWNED_RETRY_NANOS : OWNED_NO_HEARTBEAT_RETRY_NANOS;
     claims.postpone(domain, clockNanos.getAsLong() + forNanos);
   }
 
@@ -258,14 +263,14 @@
             formerLeasesEndNanos);
     leases.put(domain, lease);
     lease.claim();
-    tellChanges();
+    notifyIfChanged();
   }
 
-  private void tellChanges() {
-    Set<String> kept = grantedDomains();
-    if (!kept.equals(announced)) {
-      announced = kept;
-      onChange.run();
+  private void notifyIfChanged() {
+    Set<String> granted = grantedDomains();
+    if (!granted.equals(notifiedDomains)) {
+      notifiedDomains = granted;
+      changeListener.run();
     }
   }
 }
