--- a/edge/src/main/java/org/shoreroad/edge/sync/EntryHistory.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/EntryHistory.java
@@ -12,71 +12,71 @@
 import org.shoreroad.fleet.Incarnation;
 
 /**
- * What the list told last of upstreams that were about to end or had ended, so that an older copy
- * of the store does not bring them back.
+ * The last known entries of upstreams that were about to end or had ended, so that an older copy of
+ * the store does not bring them back.
  *
- * <p>A store that comes back from a copy lists upstreams as they were seconds before. An upstream
- * that has announced its leaving does not return to service within one run, so its leaving stands
- * until its entry is written again. An entry that had been taken away may be of an upstream that
- * runs, since entries also lapse without its doing; it is held back for a time only. Used on the
- * event loop.
+ * <p>A store restored from a copy lists upstreams as they were seconds before. An upstream that has
+ * announced that it leaves does not return to service in the same incarnation, so it stays leaving
+ * until its entry is written again. A removed entry may belong to a running upstream, since entries
+ * also lapse for other reasons; it is held back for a limited time only. Not thread-safe: used on
+ * the event loop.
  */
 final class EntryHistory {
   /**
-   * An entry that had been taken away is held back this long after the copy listed it: operators
-   * and upstreams write again within seconds what they wrote since, and the entry of a dead
-   * upstream lapses after three heartbeats of 1.2 s.
+   * Time for which a removed entry is held back after the copy listed it. Operators and upstreams
+   * repeat lost writes within seconds, and the entry of a dead upstream lapses after three
+   * heartbeats of 1.2 s.
    */
   static final long HOLD_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  private static final int MAX_KNOWN = 2_000;
+  private static final int MAX_UPSTREAMS = 2_000;
 
-  /** Upstreams that announced in an answer that they leave; their entries may be older. */
-  private final Set<Incarnation> saidLeaving =
-      Collections.newSetFromMap(new BoundedMap<>(MAX_KNOWN));
+  /** Upstreams that announced in a response that they leave; their entries may be older. */
+  private final Set<Incarnation> announcedLeaving =
+      Collections.newSetFromMap(new BoundedMap<>(MAX_UPSTREAMS));
 
-  private final Map<String, ListedEntry> leavings = new BoundedMap<>(MAX_KNOWN);
-  private final Map<String, ListedEntry> removals = new BoundedMap<>(MAX_KNOWN);
+  private final Map<String, ListedEntry> leavingEntries = new BoundedMap<>(MAX_UPSTREAMS);
+  private final Map<String, ListedEntry> removedEntries = new BoundedMap<>(MAX_UPSTREAMS);
   private final Map<String, Long> heldUntilNanos = new HashMap<>();
 
-  /** Takes note of an entry that is in force. */
+  /** Records an entry that has been applied. */
   void noteEntry(ListedEntry entry) {
-    removals.remove(entry.box().id());
+    removedEntries.remove(entry.box().id());
     if (entry.box().isLeaving()) {
-      leavings.put(entry.box().id(), entry);
+      leavingEntries.put(entry.box().id(), entry);
     } else {
-      leavings.remove(entry.box().id());
+      leavingEntries.remove(entry.box().id());
     }
   }
 
-  /** Takes note that an upstream has said in an answer that it is about to end. */
+  /** Records that an upstream has announced in a response that it is about to end. */
   void noteAnnouncedLeaving(Incarnation upstream) {
-    saidLeaving.add(upstream);
+    announcedLeaving.add(upstream);
   }
 
-  /** Takes note that the entry of an upstream was taken away. */
+  /** Records that the entry of an upstream was removed. */
   void noteRemoved(FleetBox box, StorePosition position) {
-    removals.put(box.id(), new ListedEntry(box, position));
+    removedEntries.put(box.id(), new ListedEntry(box, position));
   }
 
   /**
-   * Returns the entry as one of an upstream that is about to end, if that is known of the same run:
-   * from an answer, or from an earlier entry where this one comes from a copy that may be older.
+   * Returns the entry marked as leaving if the same incarnation is known to leave: from a response,
+   * or from an earlier entry if the given one comes from a copy that may be older.
    */
   ListedEntry withKnownLeaving(ListedEntry entry) {
-    return saidLeaving.contains(entry.box().incarnation())
-            || mayPredate(entry, leavings.get(entry.box().id()))
+    return announcedLeaving.contains(entry.box().incarnation())
+            || mayPredate(entry, leavingEntries.get(entry.box().id()))
         ? new ListedEntry(entry.box().withLeaving(), entry.position())
         : entry;
   }
 
   /**
-   * Returns true if the entry is not to count for now: it was taken away, and comes back from a
-   * copy that may be older.
+   * Holds an entry back if it was removed before and comes from a copy that may be older than the
+   * removal; otherwise ends an earlier hold. Returns true if the entry is held back.
    */
   boolean holdBackIfRemoved(ListedEntry entry, long nowNanos) {
     String id = entry.box().id();
-    if (mayPredate(entry, removals.get(id))) {
+    if (mayPredate(entry, removedEntries.get(id))) {
       heldUntilNanos.putIfAbsent(id, nowNanos + HOLD_NANOS);
       return true;
     }
@@ -86,25 +86,25 @@
 
   /** Returns the upstreams whose entries have been held back long enough, each once. */
   List<String> takeReleased(long nowNanos) {
-    List<String> taken = new ArrayList<>();
+    List<String> released = new ArrayList<>();
     heldUntilNanos.forEach(
         (id, untilNanos) -> {
           if (nowNanos - untilNanos >= 0) {
-            taken.add(id);
+            released.add(id);
           }
         });
-    heldUntilNanos.keySet().removeAll(taken);
-    removals.keySet().removeAll(taken);
-    return taken;
+    heldUntilNanos.keySet().removeAll(released);
+    removedEntries.keySet().removeAll(released);
+    return released;
   }
 
   /**
-   * Takes note that all entries up to a position were read. An entry read after it was written
-   * after all that is known of former eras.
+   * Records that all entries up to a position were read. An entry beyond that position was written
+   * later than anything known from former eras.
    */
   void noteListed(StorePosition end) {
-    leavings.replaceAll((id, known) -> rebased(known, end));
-    removals.replaceAll((id, known) -> rebased(known, end));
+    leavingEntries.replaceAll((id, known) -> rebased(known, end));
+    removedEntries.replaceAll((id, known) -> rebased(known, end));
   }
 
   private static ListedEntry rebased(ListedEntry known, StorePosition end) {
@@ -113,7 +113,7 @@
         : known;
   }
 
-  /** Returns true if an entry of the same run may have been written before what is known. */
+  /** Returns true if an entry may be older than the known one of the same incarnation. */
   private static boolean mayPredate(ListedEntry entry, @Nullable ListedEntry known) {
     return known != null
         && known.box().bornMs() == entry.box().bornMs()
--- a/edge/src/main/java/org/shoreroad/edge/sync/StatusReports.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StatusReports.java
@@ -9,20 +9,20 @@
 import org.shoreroad.fleet.FleetBox;
 
 /**
- * The newest status reports that upstreams returned directly, as far as they override entries of
- * the list that may be older.
+ * The newest status reports that upstreams returned directly. They override entries of the list
+ * that may be older.
  *
- * <p>A store that comes back from a copy lists upstreams as they were seconds before. Until the
- * lost records must have been written again, such an entry does not remove a box from its replica:
+ * <p>A store restored from a copy lists upstreams as they were seconds before. Until the lost
+ * records must have been written again, such an entry does not remove a box from its replica:
  * otherwise a partitioned head would seem to have left, and its members would be assigned to
- * another replica. Used on the event loop.
+ * another replica. Not thread-safe: used on the event loop.
  */
 final class StatusReports {
   /**
-   * A report overrides entries read within this time after it, because an entry may have been
-   * written, and its read sent, up to this much earlier.
+   * Time after a report in which it overrides entries, because an entry may have been written, and
+   * its read sent, up to this much earlier.
    */
-  private static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  private static final long REPORT_VALID_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private static final long NO_ERA = Long.MIN_VALUE;
 
@@ -30,17 +30,17 @@
   private final Map<String, Long> reportedAtNanos = new HashMap<>();
   private final Map<String, Long> reportedEpochs = new HashMap<>();
 
-  /** Upstreams whose newest entry was read while newer known state overrode it. */
-  private final Set<String> heldBackIds = new HashSet<>();
+  /** Upstreams whose newest entry was overridden by newer known state. */
+  private final Set<String> overriddenIds = new HashSet<>();
 
   private long era = NO_ERA;
-  private long copyUntilNanos = Long.MIN_VALUE / 2;
+  private long copySuspectedUntilNanos = Long.MIN_VALUE / 2;
 
   StatusReports(LongSupplier clockNanos) {
     this.clockNanos = clockNanos;
   }
 
-  /** Takes note of a report. */
+  /** Records a report. */
   void note(FleetBox report) {
     reportedAtNanos.put(report.id(), clockNanos.getAsLong());
     reportedEpochs.merge(report.id(), epochOf(report), Math::max);
@@ -52,54 +52,54 @@
       return;
     }
     if (era != NO_ERA) {
-      copyUntilNanos = clockNanos.getAsLong() + EntryHistory.HOLD_NANOS;
+      copySuspectedUntilNanos = clockNanos.getAsLong() + EntryHistory.HOLD_NANOS;
     }
     era = entryEra;
   }
 
-  /** Returns the entry with the state that is known, if the entry may be older than that. */
+  /** Returns the entry with the known engine state, if the entry may be older than that. */
   FleetBox withNewerState(FleetBox before, FleetBox listed) {
-    heldBackIds.remove(listed.id());
+    overriddenIds.remove(listed.id());
     long knownEpoch = Math.max(epochOf(before), reportedEpochs.getOrDefault(listed.id(), 0L));
-    boolean mayBeOlder = hasRecent(listed.id()) || mayBeOfCopy();
+    boolean mayBeOlder = hasRecentReport(listed.id()) || mayBeOfCopy();
     if (!mayBeOlder || epochOf(listed) > knownEpoch) {
       return listed;
     }
-    heldBackIds.add(listed.id());
+    overriddenIds.add(listed.id());
     return listed.withEngineState(before.model(), before.stagedModels(), before.membership());
   }
 
   /**
-   * Returns the upstreams whose entries were held back and count by now, each once.
+   * Returns the upstreams whose entries were overridden and may be applied by now, each once.
    *
-   * <p>An upstream writes no further entry while nothing changes, so a report that has become wrong
-   * would stay in force.
+   * <p>An upstream writes no further entry while nothing changes, so without this an outdated
+   * report would override its entry for ever.
    */
   Set<String> takeReleased() {
     if (mayBeOfCopy()) {
       return Set.of();
     }
-    Set<String> outdated = new HashSet<>(heldBackIds);
-    outdated.removeIf(this::hasRecent);
-    heldBackIds.removeAll(outdated);
-    return outdated;
+    Set<String> released = new HashSet<>(overriddenIds);
+    released.removeIf(this::hasRecentReport);
+    overriddenIds.removeAll(released);
+    return released;
   }
 
-  /** Forgets an upstream. */
+  /** Removes all reports of an upstream. */
   void forget(String id) {
     reportedAtNanos.remove(id);
     reportedEpochs.remove(id);
-    heldBackIds.remove(id);
+    overriddenIds.remove(id);
   }
 
   /** Returns true while entries may come from a copy that is older than the known state. */
   private boolean mayBeOfCopy() {
-    return clockNanos.getAsLong() - copyUntilNanos < 0;
+    return clockNanos.getAsLong() - copySuspectedUntilNanos < 0;
   }
 
-  private boolean hasRecent(String id) {
+  private boolean hasRecentReport(String id) {
     Long reportNanos = reportedAtNanos.get(id);
-    return reportNanos != null && clockNanos.getAsLong() - reportNanos < REPORT_NANOS;
+    return reportNanos != null && clockNanos.getAsLong() - reportNanos < REPORT_VALID_NANOS;
   }
 
   private static long epochOf(FleetBox box) {
