--- a/edge/src/main/java/org/shoreroad/edge/sync/AddressTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/AddressTable.java
@@ -10,11 +10,11 @@
 /**
  * The upstream at each address: the one whose entry was written last.
  *
- * <p>Where the store came back from an older copy it may list an upstream whose address has gone to
- * another one since, or a later one at a lower offset. Nothing tells these two apart. The known
- * upstream then keeps the address and the other entry waits until the known one is off the list: a
- * later upstream waits 2.3 s, where the other choice would end one that runs. Used on the event
- * loop.
+ * <p>A store restored from an older copy may list an upstream whose address has since passed to
+ * another one, or a later upstream at a lower offset. These two cases can't be distinguished. So
+ * the known upstream keeps the address, and the other entry waits until the known one is off the
+ * list. This delays a later upstream by 2.3 s; the other choice would end a running one. Not
+ * thread-safe: used on the event loop.
  */
 final class AddressTable {
   private final Map<String, String> idsByAddress = new HashMap<>();
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Returns true if an entry may take its address: no other upstream holds it, or by an earlier
-   * entry. Where the order of the two entries is unknown, this one waits.
+   * Returns true if an entry may take its address: no other upstream holds it, or the other one's
+   * entry is earlier. If the order of the two entries is unknown, this one is kept waiting.
    */
   boolean mayTake(ListedEntry entry) {
     String other = otherAt(entry.box());
@@ -47,22 +47,22 @@
     return false;
   }
 
-  /** Returns true if the entry was written after that of an upstream, for certain. */
+  /** Returns true if the entry was certainly written after that of an upstream. */
   boolean isAfter(ListedEntry entry, String id) {
     return entry.position().isCertainlyAfter(positions.getOrDefault(id, StorePosition.NONE));
   }
 
-  /** Returns true if the entry was written before that of an upstream, for certain. */
+  /** Returns true if the entry was certainly written before that of an upstream. */
   boolean isBefore(ListedEntry entry, String id) {
     return positions.getOrDefault(id, StorePosition.NONE).isCertainlyAfter(entry.position());
   }
 
-  /** Gives the address to an upstream that the list does not hold. */
+  /** Assigns the address to an upstream that is not on the list. */
   void assign(FleetBox box) {
     idsByAddress.put(box.address(), box.id());
   }
 
-  /** Gives the address to the upstream of an entry. */
+  /** Assigns the address to the upstream of an entry. */
   void assign(ListedEntry entry) {
     assign(entry.box());
     positions.put(entry.box().id(), entry.position());
@@ -81,24 +81,24 @@
     return waiting.containsKey(address);
   }
 
-  /** Returns all entries that wait, and keeps none. */
+  /** Removes and returns all waiting entries. */
   List<ListedEntry> takeWaiting() {
-    List<ListedEntry> taken = List.copyOf(waiting.values());
+    List<ListedEntry> entries = List.copyOf(waiting.values());
     waiting.clear();
-    return taken;
+    return entries;
   }
 
-  /** Records that a full listing lacked an upstream: entries from its end on were written later. */
+  /** Records that a listing lacked an upstream: entries from its end on were written later. */
   void noteUnlisted(String id, StorePosition end) {
     positions.put(id, end.previous());
   }
 
-  /** Releases the address of an upstream that is gone; returns the entry that waited for it. */
-  Optional<ListedEntry> release(FleetBox gone) {
-    positions.remove(gone.id());
-    if (!idsByAddress.remove(gone.address(), gone.id())) {
+  /** Releases the address of a removed upstream; returns the entry that waited for it. */
+  Optional<ListedEntry> release(FleetBox removed) {
+    positions.remove(removed.id());
+    if (!idsByAddress.remove(removed.address(), removed.id())) {
       return Optional.empty();
     }
-    return Optional.ofNullable(waiting.remove(gone.address()));
+    return Optional.ofNullable(waiting.remove(removed.address()));
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/BoundedMap.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/BoundedMap.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * A map that holds a limited number of entries and drops the one that was added first when another
- * one comes.
+ * A map with a limited number of entries. When it is full, a new entry replaces the one that was
+ * added first.
  *
- * <p>It keeps what is remembered per upstream from growing with every id that ever stood in the
- * list. Not thread-safe.
+ * <p>It bounds the state kept per upstream, which would otherwise grow with every id that was ever
+ * in the list. Not thread-safe.
  *
- * @param <K> the keys
- * @param <V> the values
+ * @param <K> the type of the keys
+ * @param <V> the type of the values
  * @since 0.2
  */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
@@ -22,7 +22,7 @@
   /**
    * Creates an empty map.
    *
-   * @param maxEntries the largest number of entries, above 0
+   * @param maxEntries the maximum number of entries, greater than 0
    */
   public BoundedMap(int maxEntries) {
     if (maxEntries <= 0) {
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainIndex.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainIndex.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 import org.shoreroad.fleet.FleetBox;
 
-/** The boxes of each fabric domain, by the key of the domain. Used on the event loop. */
+/** Index of the boxes by fabric domain. Not thread-safe: used on the event loop. */
 final class DomainIndex {
   private final Map<String, Map<String, FleetBox>> boxesByDomain = new HashMap<>();
 
@@ -28,7 +28,7 @@
     return List.copyOf(boxesByDomain.getOrDefault(key, Map.of()).values());
   }
 
-  /** Replaces a box by its latest state; before is null if it is new. */
+  /** Replaces the state of a box; the previous state is null for a new box. */
   void replace(@Nullable FleetBox before, FleetBox box) {
     if (before != null && !Objects.equals(before.domain(), box.domain())) {
       remove(before);
@@ -44,9 +44,9 @@
     if (box.domain() != null) {
       boxesByDomain.computeIfPresent(
           keyOf(box.service(), box.domain()),
-          (key, boxesThere) -> {
-            boxesThere.remove(box.id());
-            return boxesThere.isEmpty() ? null : boxesThere;
+          (key, boxes) -> {
+            boxes.remove(box.id());
+            return boxes.isEmpty() ? null : boxes;
           });
     }
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/EntryFault.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/EntryFault.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 
 /**
- * Why an entry of the list names no upstream to use: another writer may have put it there.
+ * The reason why an entry of the list is unusable, for example because another program wrote it.
  *
  * @since 0.2
  */
 public enum EntryFault {
-  /** The bytes are not in the form of entries. */
+  /** The bytes are not in the format of entries. */
   UNREADABLE,
-  /** A field that every upstream writes is not there. */
+  /** A field that every upstream writes is missing. */
   MISSING_FIELD,
   /** A field holds a value of another type. */
   WRONG_TYPE,
   /** A number or an address is out of its range. */
   OUT_OF_RANGE,
-  /** A state is not one of those that are agreed on. */
+  /** A state is not one of the defined ones. */
   UNKNOWN_STATE,
   /** No service of that name is declared. */
   UNKNOWN_SERVICE;
--- a/edge/src/main/java/org/shoreroad/edge/sync/EntryReader.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/EntryReader.java
@@ -8,22 +8,22 @@
 import org.shoreroad.fleet.FleetBox;
 
 /**
- * Reads the entries of the list, and passes over those that name no upstream to use.
+ * Reader of the entries of the list. It ignores unusable entries.
  *
- * <p>Such an entry costs nothing but itself. In particular it takes no address: an entry of an
- * unknown service at the address of an upstream would otherwise end that upstream here. Where it
- * stands under the id of an upstream, the upstream's last own entry goes on to count: the upstream
- * writes the next one within a heartbeat, and its requests run on meanwhile. Used on the event
- * loop.
+ * <p>An unusable entry affects no other entry. In particular it takes no address: an entry of an
+ * unknown service at the address of an upstream would otherwise end that upstream here. If it has
+ * the id of an upstream, the last usable entry of that upstream stays in force: the upstream writes
+ * the next one within a heartbeat, and its requests continue meanwhile. Not thread-safe: used on
+ * the event loop.
  */
 final class EntryReader {
-  /** Ids whose last fault is remembered, so that each is logged once and not at each heartbeat. */
+  /** Maximum number of ids whose last fault is kept, to log it once and not at each heartbeat. */
   private static final int MAX_FAULTY = 1_000;
 
   private final Fleet.Decoder decoder;
   private final EventLog log;
   private final Map<String, String> faultsById = new BoundedMap<>(MAX_FAULTY);
-  private Predicate<String> isKnownService = name -> true;
+  private Predicate<String> isDeclaredService = name -> true;
   private Consumer<EntryFault> faultListener = fault -> {};
 
   EntryReader(Fleet.Decoder decoder, EventLog log) {
@@ -31,17 +31,17 @@
     this.log = log;
   }
 
-  /** Sets which services are declared; true for all while no configuration is known. */
+  /** Sets which services are declared; returns true for all while no configuration is known. */
   void setServiceCheck(Predicate<String> check) {
-    isKnownService = check;
+    isDeclaredService = check;
   }
 
-  /** Sets what counts the entries that are passed over. */
+  /** Sets the listener that is called with the fault of each ignored entry. */
   void setFaultListener(Consumer<EntryFault> listener) {
     faultListener = listener;
   }
 
-  /** Returns the upstream that an entry names, or empty if it names none to use. */
+  /** Returns the upstream that an entry describes, or empty if the entry is unusable. */
   Optional<FleetBox> read(String id, byte[] value) {
     try {
       FleetBox entry = decoder.decode(id, value);
@@ -58,14 +58,14 @@
 
   /** Returns true unless the upstream's service is not declared. */
   boolean isDeclared(FleetBox box) {
-    return isKnownService.test(box.service());
+    return isDeclaredService.test(box.service());
   }
 
   private void noteFault(String id, UnusableEntryException e) {
     faultListener.accept(e.fault());
-    String what = String.valueOf(e.getMessage());
-    if (!what.equals(faultsById.put(id, what))) {
-      log.write("upstream_entry_unusable", "upstream", id, "why", what);
+    String message = String.valueOf(e.getMessage());
+    if (!message.equals(faultsById.put(id, message))) {
+      log.write("upstream_entry_unusable", "upstream", id, "why", message);
     }
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/FormerIncarnations.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/FormerIncarnations.java
@@ -6,80 +6,81 @@
 import org.shoreroad.fleet.Incarnation;
 
 /**
- * The incarnations of upstreams that are over because a later one runs under the same id.
+ * The incarnations of upstreams that have ended because a later one isRunning under the same id.
  *
- * <p>Start times come from the upstreams' own clocks, which may be set back, so that they tell two
- * incarnations apart but not which one is later. The later one is that of the later entry, or the
- * one that answered for itself; from then on entries and reports of the other one are dropped. An
- * entry that was written after the one that ended its incarnation shows that the incarnation runs.
- * Used on the event loop.
+ * <p>Start times come from the upstreams' own clocks, which may be set back. They distinguish two
+ * incarnations but don't show which one is later. The later one is that of the later entry, or the
+ * one that answered this process directly; from then on entries and reports of the other one are
+ * dropped. An entry that was written after the one that ended its incarnation shows that the
+ * incarnation isRunning. Not thread-safe: used on the event loop.
  */
 final class FormerIncarnations {
-  /** A late report comes within seconds; so many restarts do not. */
-  private static final int MAX_KNOWN = 2_000;
+  /** Late reports arrive within seconds, in which there are fewer restarts than this. */
+  private static final int MAX_INCARNATIONS = 2_000;
 
   private static final String ENTRY = "entry";
   private static final String REPORT = "report";
 
-  private Consumer<String> listener = what -> {};
+  private Consumer<String> listener = kind -> {};
 
-  /** The position of the entry that ended each, or nowhere if a report did. */
-  private final Map<Incarnation, StorePosition> over = new BoundedMap<>(MAX_KNOWN);
+  /** The position of the entry that ended each, or {@link StorePosition#NONE} if a report did. */
+  private final Map<Incarnation, StorePosition> ended = new BoundedMap<>(MAX_INCARNATIONS);
 
-  /** Sets what counts the entries and reports that are dropped, by which of both it is. */
+  /** Sets the listener that is called for each drop, with {@code "entry"} or {@code "report"}. */
   void setListener(Consumer<String> newListener) {
     listener = newListener;
   }
 
   /**
-   * Takes note that an incarnation is over.
+   * Records that an incarnation has ended.
    *
-   * @param endedBy the position of the later incarnation's entry, or {@link StorePosition#NONE}
-   *     if it answered for itself
+   * @param endedBy the position of the later incarnation's entry, or {@link StorePosition#NONE} if
+   *     the later incarnation answered this process directly
    */
   void add(FleetBox box, StorePosition endedBy) {
-    over.put(box.incarnation(), endedBy);
+    ended.put(box.incarnation(), endedBy);
   }
 
-  /** Returns true if an incarnation is over. */
+  /** Returns true if an incarnation has ended. */
   boolean contains(FleetBox box) {
-    return over.containsKey(box.incarnation());
+    return ended.containsKey(box.incarnation());
   }
 
-  /** Returns true, and counts it, if a report is of an incarnation that is over. */
+  /** Returns true, and calls the listener, if a report is of an ended incarnation. */
   boolean dropsReport(FleetBox report) {
     return count(contains(report), REPORT);
   }
 
   /**
-   * Returns true, and counts it, if a peer's report is of another incarnation than the known one.
+   * Returns true, and calls the listener, if a peer's report is of an ended incarnation or of
+   * another one than the known one.
    */
   boolean dropsPeersReport(FleetBox known, FleetBox report) {
     return count(report.isOtherIncarnationOf(known) || contains(report), REPORT);
   }
 
-  /** Returns true, and counts it, if an entry is of an incarnation that is over. */
+  /** Returns true, and calls the listener, if an entry is of an ended incarnation. */
   boolean dropsEntry(ListedEntry entry) {
-    return count(isOver(entry), ENTRY);
+    return count(hasEnded(entry), ENTRY);
   }
 
-  private boolean count(boolean isDropped, String what) {
+  private boolean count(boolean isDropped, String kind) {
     if (isDropped) {
-      listener.accept(what);
+      listener.accept(kind);
     }
     return isDropped;
   }
 
-  private boolean isOver(ListedEntry entry) {
-    StorePosition endedBy = over.get(entry.box().incarnation());
+  private boolean hasEnded(ListedEntry entry) {
+    StorePosition endedBy = ended.get(entry.box().incarnation());
     if (endedBy == null) {
       return false;
     }
-    boolean runs =
+    boolean isRunning =
         !endedBy.equals(StorePosition.NONE) && entry.position().isCertainlyAfter(endedBy);
-    if (runs) {
-      over.remove(entry.box().incarnation());
+    if (isRunning) {
+      ended.remove(entry.box().incarnation());
     }
-    return !runs;
+    return !isRunning;
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/LastModels.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/LastModels.java
@@ -8,29 +8,30 @@
 import org.shoreroad.fleet.Membership;
 
 /**
- * The model that each box held last in its incarnation. An engine names its model only while it is
- * a member of a replica; what it held last, it takes up at once. Used on the event loop.
+ * The model that each box last held in its incarnation. An engine reports its model only while it
+ * is a member of a replica, but the model that it last held is loaded again without delay. Not
+ * thread-safe: used on the event loop.
  */
 final class LastModels {
   private final Map<String, String> models = new HashMap<>();
 
-  /** Takes note of the newest state of a box. */
+  /** Records the newest state of a box. */
   void note(FleetBox box) {
     Membership membership = box.membership();
     if (box.model() != null) {
       models.put(box.id(), box.model());
     } else if (membership != null && membership.state() == MemberState.JOINING) {
-      // Another model may be on its way; it is not held before it is named.
+      // The box may be loading another model, which it holds once it reports it.
       models.remove(box.id());
     }
   }
 
-  /** Returns the model that the box held last, or null if it is not known. */
+  /** Returns the model that the box last held, or null if it is not known. */
   @Nullable String find(String id) {
     return models.get(id);
   }
 
-  /** Forgets a box that is over. */
+  /** Removes a box that has ended. */
   void forget(String id) {
     models.remove(id);
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/UnlistedUpstreams.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/UnlistedUpstreams.java
@@ -7,51 +7,51 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Known upstreams without an entry in the list: since when, and which of them are off the list for
- * good. Used on the event loop.
+ * The known upstreams without an entry in the list, with the time of the removal and whether it is
+ * final. Not thread-safe: used on the event loop.
  */
 final class UnlistedUpstreams {
-  /** A box off the list that nobody could make sure of is forgotten after this time. */
-  private static final long FORGET_NANOS = TimeUnit.MINUTES.toNanos(2);
+  /** Time after which a box off the list is removed even if its end could not be confirmed. */
+  private static final long MAX_ABSENCE_NANOS = TimeUnit.MINUTES.toNanos(2);
 
   private final Map<String, Absence> absences = new HashMap<>();
 
   /**
-   * How an upstream is missing from the list.
+   * The absence of an upstream from the list.
    *
-   * @param sinceNanos when its entry was taken away
-   * @param isFinal true once the entry has not come back in the time in which it would have
+   * @param sinceNanos the time when its entry was removed
+   * @param isFinal true once the entry has not come back within the expected time
    */
   record Absence(long sinceNanos, boolean isFinal) {}
 
-  /** Takes note that the entry of an upstream was taken away; the first time counts. */
+  /** Records that the entry of an upstream was removed; keeps the time of an earlier call. */
   void add(String id, long nowNanos) {
     absences.putIfAbsent(id, new Absence(nowNanos, false));
   }
 
-  /** Adds an upstream that never was on the list. */
+  /** Adds an upstream that was never on the list; its absence is final. */
   void addFinal(String id, long nowNanos) {
     absences.put(id, new Absence(nowNanos, true));
   }
 
-  /** Takes an absence over for an upstream, or nothing if there is none. */
+  /** Sets the absence of an upstream; does nothing if the absence is null. */
   void put(String id, @Nullable Absence absence) {
     if (absence != null) {
       absences.put(id, absence);
     }
   }
 
-  /** Returns how the upstream is missing, or null if it is on the list. */
+  /** Returns the absence of the upstream, or null if it is on the list. */
   @Nullable Absence find(String id) {
     return absences.get(id);
   }
 
-  /** Takes note that an upstream is on the list again, or over; returns true if it was missing. */
+  /** Removes an upstream that is listed again or has ended; returns true if it was missing. */
   boolean remove(String id) {
     return absences.remove(id) != null;
   }
 
-  /** Counts a missing upstream as off the list for good; returns true if it did not before. */
+  /** Marks a missing upstream as off the list for good; returns true if it was not so before. */
   boolean makeFinal(String id) {
     Absence absence = absences.get(id);
     if (absence == null || absence.isFinal()) {
@@ -61,7 +61,7 @@
     return true;
   }
 
-  /** Returns true if the list does not hold the upstream. */
+  /** Returns true if the upstream has no entry in the list. */
   boolean contains(String id) {
     return absences.containsKey(id);
   }
@@ -72,13 +72,13 @@
     return absence != null && absence.isFinal();
   }
 
-  /** Returns true if the upstream has been missing for so long that it can be forgotten. */
+  /** Returns true if the upstream has been missing for so long that it can be removed. */
   boolean isOutdated(String id, long nowNanos) {
     Absence absence = absences.get(id);
-    return absence != null && nowNanos - absence.sinceNanos() > FORGET_NANOS;
+    return absence != null && nowNanos - absence.sinceNanos() > MAX_ABSENCE_NANOS;
   }
 
-  /** Returns the ids of all that are missing, a copy. */
+  /** Returns a copy of the ids of all missing upstreams. */
   List<String> ids() {
     return List.copyOf(absences.keySet());
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/UnusableEntryException.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/UnusableEntryException.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * Signals an entry of the list that names no upstream to use.
+ * Thrown for an entry of the list that describes no usable upstream.
  *
  * @since 0.2
  */
@@ -16,7 +16,7 @@
    * Creates an exception.
    *
    * @param fault what is wrong, not null
-   * @param what the field or the text that it is wrong with, not null
+   * @param what the field or the text that is wrong, not null
    */
   public UnusableEntryException(EntryFault fault, String what) {
     super(fault.code() + ": " + what);
