--- a/edge/src/main/java/org/shoreroad/edge/sync/CountedStore.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/CountedStore.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Store decorator that counts the calls by kind: the store limits the calls per second of all
- * processes together. Used on the event loop.
+ * Store decorator that counts the calls by kind, because the store limits the calls per second of
+ * all processes together. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
--- a/edge/src/main/java/org/shoreroad/edge/sync/FormationNumbers.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/FormationNumbers.java
@@ -5,8 +5,8 @@
  *
  * <p>A number begins with the fencing number of the lease and is higher than all earlier ones of
  * this process. One generator serves all leases of the process in the domain: the store may grant a
- * lease again under the same fencing number, and engines treat formations with one number as the
- * same. Used on the event loop.
+ * lease again under the same fencing number, and engines treat formations with the same number as
+ * one. Not thread-safe: used on the event loop.
  */
 final class FormationNumbers {
   /** Number of bits for the formations under one fencing number. */
--- a/edge/src/main/java/org/shoreroad/edge/sync/ListUpdate.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/ListUpdate.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * A stretch of the list of upstreams that one process has read and tells another one.
+ * A range of the list of upstreams that one process has read and sends to another one.
  *
- * <p>Records that changed nothing are left out. All positions are of one era. This class is
+ * <p>Records that changed nothing are omitted. All positions are of one era. This class is
  * immutable and thread-safe.
  *
- * @param from where the stretch begins: who has read as far misses nothing, not null
- * @param end where it ends, not null
- * @param ageNanos how long ago the teller had proof that it missed no change
- * @param reachableNanos how long the store has answered the teller without a fault, 0 if it does
- *     not
- * @param records what changed in between, in the order of the offsets
+ * @param from the start of the range; a receiver that has read up to it misses nothing, not null
+ * @param end the end of the range, not null
+ * @param ageNanos how long ago the sender had proof that it missed no change, in nanoseconds
+ * @param reachableNanos how long the store has answered the sender without a fault, in nanoseconds;
+ *     0 if it does not
+ * @param records the changes in the range, in the order of the offsets
  * @since 0.2
  */
 public record ListUpdate(
@@ -23,10 +23,10 @@
     long ageNanos,
     long reachableNanos,
     List<StoreRecord> records) {
-  /** Age that stands for no proof. */
+  /** Age that denotes a missing proof. */
   private static final long NO_PROOF_NANOS = Long.MAX_VALUE / 4;
 
-  /** Nothing that anybody could use. */
+  /** An update without a position, records or a proof. */
   public static final ListUpdate NONE = readTo(StorePosition.NONE);
 
   /** Copies the list. */
@@ -41,7 +41,7 @@
     return new ListUpdate(end, end, NO_PROOF_NANOS, 0, List.of());
   }
 
-  /** Returns the same stretch in another era. */
+  /** Returns the same range in another era. */
   public ListUpdate withEra(long era) {
     List<StoreRecord> moved = records.stream().map(record -> record.withEra(era)).toList();
     return new ListUpdate(from.withEra(era), end.withEra(era), ageNanos, reachableNanos, moved);
--- a/edge/src/main/java/org/shoreroad/edge/sync/RecentChanges.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/RecentChanges.java
@@ -6,25 +6,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The newest records of the list that changed something, for processes that do not read the store
- * themselves. All are of one era. Used on the event loop.
+ * The newest records that changed an entry of the list, for processes that do not read the store
+ * themselves. All are of one era. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 public final class RecentChanges {
-  /** What many boxes change within some seconds; who lacks more reads the store itself. */
+  /**
+   * Number of changes that many boxes make within some seconds. A process that lacks more reads the
+   * store itself.
+   */
   private static final int CAPACITY = 2_048;
 
   private final Deque<StoreRecord> records = new ArrayDeque<>();
   private @Nullable StorePosition completeFrom;
 
-  /** Begins anew: what came before the position is not known in order. */
+  /** Removes all records and starts at a position; the order of earlier changes is not known. */
   public void restart(StorePosition position) {
     records.clear();
     completeFrom = position;
   }
 
-  /** Adds a record that changed something. */
+  /** Adds a record that changed an entry. */
   public void add(StoreRecord record) {
     records.addLast(record);
     if (records.size() > CAPACITY) {
--- a/edge/src/main/java/org/shoreroad/edge/sync/StoreCallback.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StoreCallback.java
@@ -1,15 +1,15 @@
 package org.shoreroad.edge.sync;
 
 /**
- * Hears the outcome of one call to the store, on the event loop.
+ * Callback for the result of one call to the store. It runs on the event loop.
  *
- * @param <T> what the call brings
+ * @param <T> the type of the result
  * @since 0.2
  */
 public interface StoreCallback<T> {
-  /** Tells what the call brought. */
+  /** Called with the result of a successful call. */
   void onValue(T value);
 
-  /** Tells that it brought nothing. */
+  /** Called with the fault of a failed call. */
   void onFault(StoreFault fault);
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/StoreEra.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StoreEra.java
@@ -7,14 +7,15 @@
 /**
  * The era of the platform's store, observed in all of its answers.
  *
- * <p>The store may come back from a copy that is some seconds old. It then lacks its last records,
- * assigns their offsets again to other ones, and raises its era by one. This is the one place that
- * notices it; whoever keeps something by the store listens here. Used on the event loop.
+ * <p>The store may be restored from a copy that is some seconds old. It then lacks its last
+ * records, assigns their offsets again to other records, and increments its era. Only this class
+ * detects that; classes whose state depends on the store add a listener. Not thread-safe: used on
+ * the event loop.
  *
  * @since 0.2
  */
 public final class StoreEra {
-  /** Stands for the era of a store that tells none. */
+  /** The era of a store that sends none in its answers. */
   public static final long NONE = 0;
 
   private final EventLog log;
@@ -31,30 +32,30 @@
   /**
    * Adds a listener for eras after the first one that was observed.
    *
-   * @param listener called on the event loop before the answer that told the era is passed on, not
+   * @param listener called on the event loop before the answer with the new era is passed on, not
    *     null
    */
   public void addListener(Runnable listener) {
     listeners.add(listener);
   }
 
-  /** Returns the newest era that an answer has told, {@link #NONE} before the first answer. */
+  /** Returns the newest era of all answers, {@link #NONE} before the first answer. */
   public long current() {
     return current;
   }
 
-  /** Returns how many answers of an earlier era came after one of a later era. */
+  /** Returns the number of answers of an earlier era that arrived after one of a later era. */
   public long formerAnswers() {
     return formerAnswers;
   }
 
   /**
-   * Takes note of the era of an answer.
+   * Records the era of an answer and notifies the listeners of a new era.
    *
-   * @param era the era that the answer tells, or {@link #NONE}
+   * @param era the era in the answer, or {@link #NONE}
    * @param call the kind of the call that was answered, for the log, not null
-   * @return false if the answer is of an earlier era than one before: it was on its way while the
-   *     store went back, and what it tells may be gone
+   * @return false if the answer is of an earlier era than a previous one: it was in transit while
+   *     the store was restored, and its content may no longer exist
    */
   public boolean observe(long era, String call) {
     if (era < current) {
--- a/edge/src/main/java/org/shoreroad/edge/sync/StoreFault.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StoreFault.java
@@ -1,19 +1,19 @@
 package org.shoreroad.edge.sync;
 
 /**
- * Why a call to the store brought nothing.
+ * The reason why a call to the store failed.
  *
  * @since 0.2
  */
 public enum StoreFault {
-  /** The records asked for are no longer kept: begin anew from the newest of each key. */
+  /** The requested records are no longer stored; list the newest record of each key instead. */
   TRIMMED,
-  /** The store refused the call; nothing was done. */
+  /** The store refused the call and executed nothing. */
   REFUSED,
-  /** No answer came: the call may have been done, or may still be. */
+  /** No answer arrived; the call may have been executed, or may still be. */
   NO_ANSWER,
-  /** The answer came after one of a later era: what it tells may be gone. */
+  /** The answer arrived after one of a later era; its content may no longer exist. */
   FORMER_ERA,
-  /** The answer could not be read. */
+  /** The answer could not be decoded. */
   MALFORMED
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/StorePosition.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StorePosition.java
@@ -1,23 +1,23 @@
 package org.shoreroad.edge.sync;
 
 /**
- * A place in a topic of the platform's store.
+ * A position in a topic of the platform's store.
  *
- * <p>An offset alone does not name a record: the store may come back from an older copy and assign
- * offsets again. Offsets of different eras tell an order in one case only: a copy holds no record
- * beyond those of the former era that it was made of, so a record of a later era at a higher offset
- * was written later. This class is immutable and thread-safe.
+ * <p>An offset alone does not identify a record: the store may be restored from an older copy and
+ * assign offsets again. Offsets of different eras show an order in one case only: a copy holds only
+ * records of the former era that were written before it, so a record of a later era at a higher
+ * offset was written later. This class is immutable and thread-safe.
  *
- * @param era the era of the store, {@link StoreEra#NONE} if the store tells none, {@link #UNKNOWN_ERA}
- *     if a peer of an earlier release does not tell it
+ * @param era the era of the store, {@link StoreEra#NONE} if the store sends none, {@link
+ *     #UNKNOWN_ERA} if a peer of an earlier release does not send it
  * @param offset the offset, or -1 if none is known
  * @since 0.2
  */
 public record StorePosition(long era, long offset) {
-  /** Stands for the era of a position that was told without one. */
+  /** The era of a position that was received without one. */
   public static final long UNKNOWN_ERA = -1;
 
-  /** No position: nothing has been read. */
+  /** The position before anything was read. */
   public static final StorePosition NONE = new StorePosition(UNKNOWN_ERA, -1);
 
   /** Returns the position at an offset in an era. */
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Returns true if a record here was written after one at the other position, whatever copy the
-   * store came back from in between.
+   * Returns true if a record at this position was certainly written after one at the other
+   * position, even if the store was restored from a copy in between.
    */
   public boolean isCertainlyAfter(StorePosition other) {
     return era >= other.era && offset > other.offset;
--- a/edge/src/main/java/org/shoreroad/edge/sync/StoreRecord.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StoreRecord.java
@@ -4,11 +4,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One record of a keyed topic.
+ * A record of a keyed topic.
  *
- * @param position its place in the topic, not null
+ * @param position its position in the topic, not null
  * @param key its key, not null
- * @param value its value, or null if it takes the key away
+ * @param value its value, or null if the record removes the key
  * @since 0.2
  */
 public record StoreRecord(StorePosition position, String key, byte @Nullable [] value) {
--- a/edge/src/main/java/org/shoreroad/edge/sync/Topic.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Topic.java
@@ -1,16 +1,16 @@
 package org.shoreroad.edge.sync;
 
 /**
- * What the process reads from the platform's store and writes to it.
+ * A topic of the platform's store that the process reads or writes.
  *
  * @since 0.2
  */
 public enum Topic {
-  /** What operators declare; the store's owner writes it. */
+  /** The configuration that operators declare, written by the store's owner. */
   CONFIGURATION,
-  /** The upstreams, as they list themselves. */
+  /** The upstreams, each of which writes its own entry. */
   UPSTREAMS,
-  /** The processes of this system, by the name of their incarnation. */
+  /** The processes of this system, by the names of their incarnations. */
   PROCESSES,
   /** The quarantined requests, by their fingerprints. */
   QUARANTINE
--- a/edge/src/main/java/org/shoreroad/edge/sync/package-info.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/package-info.java
@@ -1,4 +1,4 @@
-/** What this process knows from the platform's store, how old it is, and the leases it holds. */
+/** State that this process reads from the platform's store, its age, and the leases on domains. */
 @NullMarked
 package org.shoreroad.edge.sync;
 
