--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeaseTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeaseTest.java
@@ -11,7 +11,7 @@
 import org.shoreroad.edge.ElapsedClock;
 import org.shoreroad.edge.EventLog;
 
-/** The lease of one domain, with a clock that the test turns. */
+/** Tests of the lease of one domain with a fake clock. */
 class DomainLeaseTest {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowNanos = TimeUnit.HOURS.toNanos(1);
@@ -28,31 +28,32 @@
           new FormationNumbers(),
           Long.MIN_VALUE / 2);
 
-  private void pass(long nanos) {
+  private void advance(long nanos) {
     nowNanos += nanos;
     channel.advanceTimeBy(nanos, TimeUnit.NANOSECONDS);
     channel.runScheduledPendingTasks();
   }
 
   @Test
-  void holdsAfterItSettledAndUntilItsOwnEnd() {
+  void leaseIsHeldAfterTheDelayUntilItExpires() {
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     lease.claim();
     assertThat(lease.isHeld(), is(false));
-    pass(700_000_000L);
+    advance(700_000_000L);
     assertThat(lease.isHeld(), is(true));
     assertThat(lease.fencingNumber(), is(7L));
     store.failWith(StoreFault.NO_ANSWER);
-    pass(1_000_000_000L);
-    pass(1_000_000_000L);
+    advance(1_000_000_000L);
+    advance(1_000_000_000L);
     assertThat(lease.isHeld(), is(false));
   }
 
   /**
-   * The store counts on while the box is suspended, and may assign the domain to another process.
+   * The lease expires in the store while the box is suspended, and the store may assign the domain
+   * to another process.
    */
   @Test
-  void aLeaseEndsWhileTheBoxIsSuspended() {
+  void leaseExpiresWhileTheBoxIsSuspended() {
     long[] suspendedNanos = {0};
     ElapsedClock elapsed =
         new ElapsedClock(
@@ -69,7 +70,7 @@
             Long.MIN_VALUE / 2);
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     held.claim();
-    pass(700_000_000L);
+    advance(700_000_000L);
     assertThat(held.isHeld(), is(true));
     suspendedNanos[0] = TimeUnit.SECONDS.toNanos(3);
     assertThat(held.isHeld(), is(false));
@@ -77,64 +78,64 @@
   }
 
   @Test
-  void aDomainThatPassedToAnotherMemberIsLost() {
+  void leaseIsLostWhenTheDomainIsReassigned() {
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     lease.claim();
-    pass(700_000_000L);
+    advance(700_000_000L);
     assertThat(lease.isLost(), is(false));
     store.grant(new PartitionGrant(StoreEra.NONE, 8, Set.of(1)));
-    pass(500_000_000L);
+    advance(500_000_000L);
     assertThat(lease.isHeld(), is(false));
     assertThat(lease.isLost(), is(true));
   }
 
   @Test
-  void aClaimThatAnotherMemberIsBeforeIsNotLostButNotHeld() {
+  void ungrantedClaimIsNeitherHeldNorLost() {
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(2, 3)));
     lease.claim();
-    pass(1_000_000_000L);
+    advance(1_000_000_000L);
     assertThat(lease.isGranted(), is(false));
     assertThat(lease.isLost(), is(false));
   }
 
   @Test
-  void numbersOfFormationsRiseOverGenerations() {
+  void formationNumbersIncreaseOverGenerations() {
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     lease.claim();
     long first = lease.nextEpoch();
     long second = lease.nextEpoch();
     store.grant(new PartitionGrant(StoreEra.NONE, 8, Set.of(0)));
-    pass(900_000_000L);
+    advance(900_000_000L);
     assertThat(lease.fencingNumber(), is(8L));
     long third = lease.nextEpoch();
     assertThat(first < second && second < third, is(true));
   }
 
   @Test
-  void staysHeldWhileTheStoreRejectsThreeRenewals() {
+  void leaseSurvivesThreeRejectedRenewals() {
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     lease.claim();
     store.failWith(StoreFault.REFUSED);
-    pass(800_000_000L);
-    pass(300_000_000L);
-    pass(300_000_000L);
+    advance(800_000_000L);
+    advance(300_000_000L);
+    advance(300_000_000L);
     assertThat(lease.isHeld(), is(true));
     store.failWith(null);
-    pass(290_000_000L);
-    pass(10_000_000L);
-    pass(700_000_000L);
+    advance(290_000_000L);
+    advance(10_000_000L);
+    advance(700_000_000L);
     assertThat(lease.isHeld(), is(true));
   }
 
   @Test
-  void holdsNothingMoreAfterLeaving() {
+  void leaseIsNotHeldAfterLeaving() {
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     lease.claim();
-    pass(700_000_000L);
+    advance(700_000_000L);
     lease.leave();
     assertThat(lease.isHeld(), is(false));
     assertThat(store.hasLeft(), is(true));
-    pass(700_000_000L);
+    advance(700_000_000L);
     assertThat(lease.isHeld(), is(false));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesEraTest.java
@@ -17,53 +17,54 @@
 import org.shoreroad.edge.EventLog;
 
 /**
- * The lease of one domain that passes between two processes, while the store comes back from an
- * older copy at each step of the way.
+ * Tests the lease of one domain with two processes, where the store is restored from an older copy
+ * at any step.
  *
- * <p>A copy holds a former owner and a lower generation. With the generation as the fencing number
- * engines reject every order of the owner until the generation has grown past the former one, and
- * an owner by the copy meets one that still goes by its lease of the former era.
+ * <p>The copy holds a former owner and a lower generation. If the generation alone were the fencing
+ * number, engines would reject every order of the owner until the generation exceeds the former
+ * one. The owner in the copy may also overlap with one whose lease of the former era is still
+ * valid.
  */
 class DomainLeasesEraTest {
   private static final String DOMAIN = "llm/d0";
   private static final int STEP_MS = 100;
   private static final int CHANGE_STEP = 40;
-  private static final int BACK_STEP = 70;
+  private static final int RECONNECT_STEP = 70;
   private static final int STEPS = 150;
 
-  /** What happens to the first owner at the step of the change. */
+  /** Event that affects the first owner at {@link #CHANGE_STEP}. */
   private enum Change {
     NONE,
     KILL,
     LEAVE,
-    CUT_FOR_A_WHILE
+    DISCONNECT_AND_RECONNECT
   }
 
   /**
-   * One drill.
+   * An outage of the store followed by a restore.
    *
-   * @param atStep when the store goes away
-   * @param awaySteps how long it is away
-   * @param ageMs how old the copy is when the store comes back, in milliseconds
-   * @param doTimesWait whether members have as much time left as in the copy
+   * @param atStep the step at which the store becomes unavailable
+   * @param outageSteps the number of steps for which it is unavailable
+   * @param ageMs the age of the copy that is restored, in milliseconds
+   * @param keepsRemainingTimes true if members have as much time left as in the copy
    */
-  private record Drill(int atStep, int awaySteps, int ageMs, boolean doTimesWait) {}
+  private record Outage(int atStep, int outageSteps, int ageMs, boolean keepsRemainingTimes) {}
 
-  /** One play of a change and a drill; collects what went wrong. */
-  private static final class Play {
+  /** Simulation of one change and one outage; collects the violated rules. */
+  private static final class Simulation {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private long nowNanos = TimeUnit.HOURS.toNanos(1);
     private final EventLog log = new EventLog("t", () -> nowNanos, OutputStream.nullOutputStream());
     private final FakeGroups store = new FakeGroups(() -> nowNanos);
     private final TreeMap<String, DomainLeases> processes = new TreeMap<>();
-    private final List<String> faults = new ArrayList<>();
-    private final Map<String, Long> toldEras = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private final Map<String, Long> notifiedEras = new HashMap<>();
     private String lastHolder = "";
     private long highestFence;
     private long highestEpoch;
     private int heldSteps;
 
-    Play() {
+    Simulation() {
       for (String name : List.of("a", "b")) {
         Peers peers = new Peers(name);
         processes.put(
@@ -116,7 +117,7 @@
       List<String> holders =
           processes.keySet().stream().filter(name -> processes.get(name).holds(DOMAIN)).toList();
       if (holders.size() > 1) {
-        faults.add("two holders");
+        violations.add("two processes hold the lease");
       }
       if (holders.size() == 1) {
         checkNumbers(holders.get(0));
@@ -128,48 +129,49 @@
       long fence = processes.get(holder).fencingNumber(DOMAIN);
       boolean isOutdated = holder.equals(lastHolder) ? fence < highestFence : fence <= highestFence;
       if (isOutdated) {
-        faults.add("engines reject the orders of " + holder);
+        violations.add("engines reject the orders of " + holder);
       }
       long epoch = processes.get(holder).nextEpoch(DOMAIN);
       if (epoch <= highestEpoch) {
-        faults.add("a formation bears the number of an earlier one");
+        violations.add("formation number not higher than an earlier one");
       }
       lastHolder = holder;
       highestFence = Math.max(highestFence, fence);
       highestEpoch = Math.max(highestEpoch, epoch);
     }
 
-    List<String> run(Change change, Drill drill) {
+    List<String> run(Change change, Outage outage) {
       for (int step = 0; step < STEPS; step++) {
         if (step == CHANGE_STEP) {
-          begin(change, processes.firstKey());
+          applyChange(change, processes.firstKey());
         }
-        if (step == BACK_STEP && change == Change.CUT_FOR_A_WHILE) {
+        if (step == RECONNECT_STEP && change == Change.DISCONNECT_AND_RECONNECT) {
           processes.keySet().forEach(store::reconnect);
-          tellEra();
+          notifyEra();
         }
-        if (step == drill.atStep()) {
+        if (step == outage.atStep()) {
           store.setUnavailable(true);
         }
-        if (step == drill.atStep() + drill.awaySteps()) {
-          store.restoreCopy(TimeUnit.MILLISECONDS.toNanos(drill.ageMs()), drill.doTimesWait());
+        if (step == outage.atStep() + outage.outageSteps()) {
+          store.restoreCopy(
+              TimeUnit.MILLISECONDS.toNanos(outage.ageMs()), outage.keepsRemainingTimes());
           store.setUnavailable(false);
-          tellEra();
+          notifyEra();
         }
         step();
       }
       if (!lastStepsAreHeld()) {
-        faults.add("nobody holds the domain at the end");
+        violations.add("no process holds the lease at the end");
       }
-      return faults;
+      return violations;
     }
 
-    /** Tells processes that reach the store of a new era, each once. */
-    private void tellEra() {
+    /** Notifies each process that reaches the store once of a new era. */
+    private void notifyEra() {
       processes.forEach(
           (name, leases) -> {
-            if (!store.isDisconnected(name) && store.era() > toldEras.getOrDefault(name, 1L)) {
-              toldEras.put(name, store.era());
+            if (!store.isDisconnected(name) && store.era() > notifiedEras.getOrDefault(name, 1L)) {
+              notifiedEras.put(name, store.era());
               leases.noteEra();
             }
           });
@@ -183,36 +185,36 @@
       return heldSteps > before;
     }
 
-    private void begin(Change change, String fallback) {
+    private void applyChange(Change change, String fallback) {
       String owner = lastHolder.isEmpty() ? fallback : lastHolder;
       switch (change) {
-        case KILL, CUT_FOR_A_WHILE -> store.disconnect(owner);
+        case KILL, DISCONNECT_AND_RECONNECT -> store.disconnect(owner);
         case LEAVE -> processes.get(owner).leave();
         default -> {
-          // The domain stays where it is.
+          // The owner is not affected.
         }
       }
     }
   }
 
   @Test
-  void aDrillAtAnyStepLeavesOneHolderWithHigherNumbers() {
-    List<String> broken = new ArrayList<>();
+  void restoreAtAnyStepKeepsOneHolderAndRisingNumbers() {
+    List<String> failures = new ArrayList<>();
     for (Change change : Change.values()) {
       for (int atStep = 5; atStep < 100; atStep++) {
-        for (int awaySteps : new int[] {0, 1, 4, 20}) {
+        for (int outageSteps : new int[] {0, 1, 4, 20}) {
           for (int ageMs : new int[] {300, 1_000, 2_500, 6_000}) {
-            for (boolean doTimesWait : new boolean[] {false, true}) {
-              Drill drill = new Drill(atStep, awaySteps, ageMs, doTimesWait);
-              Set<String> faults = Set.copyOf(new Play().run(change, drill));
-              if (!faults.isEmpty()) {
-                broken.add(change + " " + drill + ": " + faults);
+            for (boolean keepsRemainingTimes : new boolean[] {false, true}) {
+              Outage outage = new Outage(atStep, outageSteps, ageMs, keepsRemainingTimes);
+              Set<String> violations = Set.copyOf(new Simulation().run(change, outage));
+              if (!violations.isEmpty()) {
+                failures.add(change + " " + outage + ": " + violations);
               }
             }
           }
         }
       }
     }
-    assertThat(broken.size() + " drills", broken, empty());
+    assertThat(failures.size() + " outages", failures, empty());
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/DomainLeasesTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 import org.shoreroad.edge.EventLog;
 
-/** The leases of many processes over one store, with a clock that the test turns. */
+/** Tests of the leases of many processes in one store with a fake clock. */
 class DomainLeasesTest {
   private static final int STEP_MS = 50;
 
-  /** What a process tells reaches the others over two hubs, each with heartbeats 200 ms apart. */
+  /** Heartbeats reach the other processes over two hubs, each with an interval of 200 ms. */
   private static final int LAG_STEPS = 8;
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -32,8 +32,8 @@
   private final Set<String> domains = new TreeSet<>();
   private final Map<String, DomainLeases> processes = new HashMap<>();
   private final Set<String> dead = new HashSet<>();
-  private final Set<String> deaf = new HashSet<>();
-  private final List<Map<String, Set<String>>> told = new ArrayList<>();
+  private final Set<String> withoutHeartbeats = new HashSet<>();
+  private final List<Map<String, Set<String>>> heartbeatHistory = new ArrayList<>();
 
   private void createDomains(int count) {
     for (int i = 0; i < count; i++) {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** What one process has heard of the others, a while ago. */
+  /** View of one process of the others, delayed by {@link #LAG_STEPS}. */
   private final class Peers implements DomainLeases.Peers {
     private final String self;
 
@@ -65,15 +65,16 @@
 
     @Override
     public @Nullable Set<String> ownedDomains() {
-      if (deaf.contains(self)) {
+      if (withoutHeartbeats.contains(self)) {
         return null;
       }
-      Set<String> kept = new HashSet<>();
-      if (told.size() > LAG_STEPS) {
-        told.get(told.size() - LAG_STEPS)
-            .forEach((name, domains) -> kept.addAll(name.equals(self) ? Set.of() : domains));
+      Set<String> owned = new HashSet<>();
+      if (heartbeatHistory.size() > LAG_STEPS) {
+        heartbeatHistory
+            .get(heartbeatHistory.size() - LAG_STEPS)
+            .forEach((name, domains) -> owned.addAll(name.equals(self) ? Set.of() : domains));
       }
-      return kept;
+      return owned;
     }
 
     @Override
@@ -89,12 +90,13 @@
     }
   }
 
-  private void run(int millis) {
+  private void advance(int millis) {
     for (int passed = 0; passed < millis; passed += STEP_MS) {
       Map<String, Set<String>> now = new HashMap<>();
       processes.forEach(
-          (name, leases) -> now.put(name, dead.contains(name) ? Set.of() : leases.grantedDomains()));
-      told.add(now);
+          (name, leases) ->
+              now.put(name, dead.contains(name) ? Set.of() : leases.grantedDomains()));
+      heartbeatHistory.add(now);
       long nanos = TimeUnit.MILLISECONDS.toNanos(STEP_MS);
       nowNanos += nanos;
       channel.advanceTimeBy(nanos, TimeUnit.NANOSECONDS);
@@ -126,48 +128,49 @@
   }
 
   @Test
-  void eachOfManyDomainsHasOneOwnerSoonAfterTheStart() {
+  void eachDomainHasOneOwnerSoonAfterTheStart() {
     createDomains(25);
     startProcesses(95);
-    run(6_000);
+    advance(6_000);
     Map<String, String> owners = owners();
     assertThat(owners.size(), is(25));
     owners
         .values()
-        .forEach(name -> assertThat(processes.get(name).grantedDomains().size(), lessThanOrEqualTo(2)));
+        .forEach(
+            name -> assertThat(processes.get(name).grantedDomains().size(), lessThanOrEqualTo(2)));
   }
 
   @Test
-  void aFewProcessesShareAllDomains() {
+  void fewProcessesOwnAllDomains() {
     createDomains(25);
     startProcesses(3);
-    run(10_000);
+    advance(10_000);
     assertThat(owners().size(), is(25));
   }
 
   @Test
-  void aProcessThatComesChangesNoOwner() {
+  void addedProcessesChangeNoOwner() {
     createDomains(25);
     startProcesses(30);
-    run(8_000);
+    advance(8_000);
     Map<String, String> before = owners();
     for (int i = 30; i < 60; i++) {
       startProcess("p" + i);
-      run(300);
+      advance(300);
     }
-    run(5_000);
+    advance(5_000);
     assertThat(owners(), is(before));
   }
 
   @Test
-  void aLossMovesOnlyWhatTheDeadProcessKept() {
+  void lossMovesOnlyTheDomainsOfTheDeadProcess() {
     createDomains(25);
     startProcesses(30);
-    run(8_000);
+    advance(8_000);
     Map<String, String> before = owners();
     String lost = before.get("llm/d0");
     kill(lost);
-    run(6_000);
+    advance(6_000);
     Map<String, String> after = owners();
     assertThat(after.size(), is(25));
     before.forEach(
@@ -179,51 +182,51 @@
   }
 
   @Test
-  void aProcessThatLeavesIsFollowedBeforeItsLeaseWouldEnd() {
+  void leavingProcessIsReplacedBeforeItsLeaseWouldExpire() {
     createDomains(1);
     startProcesses(4);
-    run(4_000);
+    advance(4_000);
     String first = owners().get("llm/d0");
     processes.get(first).leave();
     dead.add(first);
-    run(2_800);
+    advance(2_800);
     assertThat(owners().size(), is(1));
   }
 
   @Test
-  void whoLosesTouchWithTheStoreStopsBeforeAnotherBegins() {
+  void processPartitionedFromTheStoreStopsBeforeItsSuccessorStarts() {
     createDomains(6);
     startProcesses(7);
-    run(8_000);
-    // It still hears the others, and they hear it.
+    advance(8_000);
+    // Heartbeats between the process and the others still arrive.
     store.disconnect(owners().get("llm/d3"));
-    run(8_000);
+    advance(8_000);
     assertThat(owners().size(), is(6));
   }
 
   @Test
-  void whoHearsNobodyTakesNothingAndAsksSeldom() {
+  void processWithoutHeartbeatsClaimsNothingAndReadsRarely() {
     createDomains(25);
     startProcesses(10);
-    run(8_000);
+    advance(8_000);
     Map<String, String> before = owners();
-    deaf.add("p3");
-    run(6_000);
-    int asked = store.ownerCount();
-    run(10_000);
+    withoutHeartbeats.add("p3");
+    advance(6_000);
+    int readsBefore = store.ownerCount();
+    advance(10_000);
     assertThat(owners(), is(before));
-    // Each of at most 25 domains every two seconds.
-    assertThat(store.ownerCount() - asked, lessThanOrEqualTo(25 * 6));
+    // At most one read for each of the 25 domains every two seconds.
+    assertThat(store.ownerCount() - readsBefore, lessThanOrEqualTo(25 * 6));
   }
 
   @Test
-  void renewalsGrowWithTheDomainsAndNotWithTheProcesses() {
+  void renewalsScaleWithDomainsNotWithProcesses() {
     createDomains(25);
     startProcesses(95);
-    run(8_000);
+    advance(8_000);
     int before = store.joinCount();
-    run(10_000);
-    // Two renewals a second for each domain.
+    advance(10_000);
+    // Two renewals per second for each domain.
     assertThat(store.joinCount() - before, lessThanOrEqualTo(25 * 21));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FakeGroups.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FakeGroups.java
@@ -12,9 +12,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The groups of a store in memory, which answers at once: partitions are dealt evenly among the
- * members of a group, and pass on when their holder joins again, leaves or falls silent. Used by
- * one thread.
+ * In-memory groups of a store, which answer immediately. Partitions are assigned evenly to the
+ * members of a group and are reassigned when their holder joins again, leaves or expires. Not
+ * thread-safe.
  */
 final class FakeGroups implements LeaseStore {
   private static final int PARTITIONS = 4;
@@ -23,76 +23,77 @@
   private final Map<String, Group> groups = new HashMap<>();
   private final Deque<Copy> copies = new ArrayDeque<>();
   private long era = 1;
-  private boolean isAway;
-  private final Set<String> cutMembers = new HashSet<>();
+  private boolean isUnavailable;
+  private final Set<String> disconnectedMembers = new HashSet<>();
   private int joinCount;
   private int ownerCount;
 
   private static final class Group {
-    private final Map<String, Long> untilNanos = new TreeMap<>();
+    private final Map<String, Long> expiryNanos = new TreeMap<>();
     private final Map<Integer, String> holders = new HashMap<>();
     private long generation;
 
-    private Group copy(long laterNanos) {
+    private Group copy(long extensionNanos) {
       Group copy = new Group();
-      untilNanos.forEach((name, until) -> copy.untilNanos.put(name, until + laterNanos));
+      expiryNanos.forEach((name, expiry) -> copy.expiryNanos.put(name, expiry + extensionNanos));
       copy.holders.putAll(holders);
       copy.generation = generation;
       return copy;
     }
 
-    private String dealtTo(int part) {
-      List<String> names = List.copyOf(untilNanos.keySet());
-      return names.get((part + (int) generation) % names.size());
+    private String assignedTo(int partition) {
+      List<String> names = List.copyOf(expiryNanos.keySet());
+      return names.get((partition + (int) generation) % names.size());
     }
   }
 
-  /** All groups at one time. */
+  /** Copy of all groups at one time. */
   private record Copy(long takenNanos, Map<String, Group> groups) {}
 
   FakeGroups(LongSupplier clockNanos) {
     this.clockNanos = clockNanos;
   }
 
-  /** Loses all calls of a member. */
+  /** Makes all calls of a member fail. */
   void disconnect(String member) {
-    cutMembers.add(member);
+    disconnectedMembers.add(member);
   }
 
-  /** Takes calls of a member again. */
+  /** Lets calls of a member succeed again. */
   void reconnect(String member) {
-    cutMembers.remove(member);
+    disconnectedMembers.remove(member);
   }
 
-  /** Keeps a copy, from which the store may come back. */
+  /** Saves a copy that can be restored. */
   void saveCopy() {
     copies.addLast(new Copy(clockNanos.getAsLong(), copyOf(groups, 0)));
   }
 
-  /** Answers nobody, or answers again. */
-  void setUnavailable(boolean away) {
-    isAway = away;
+  /** Makes all calls fail, or succeed again. */
+  void setUnavailable(boolean unavailable) {
+    isUnavailable = unavailable;
   }
 
   /**
-   * Comes back from the newest copy of at least this age, in a new era.
+   * Restores the newest copy of at least this age, in a new era.
    *
-   * @param doTimesWait true if members have as much time left as they had in the copy
+   * @param ageNanos the minimum age of the copy, in nanoseconds
+   * @param keepsRemainingTimes true if members have as much time left as they had in the copy
    */
-  void restoreCopy(long ageNanos, boolean doTimesWait) {
+  void restoreCopy(long ageNanos, boolean keepsRemainingTimes) {
     long nowNanos = clockNanos.getAsLong();
     while (copies.size() > 1 && copies.getLast().takenNanos() > nowNanos - ageNanos) {
       copies.removeLast();
     }
     Copy copy = copies.getLast();
     groups.clear();
-    groups.putAll(copyOf(copy.groups(), doTimesWait ? nowNanos - copy.takenNanos() : 0));
+    groups.putAll(copyOf(copy.groups(), keepsRemainingTimes ? nowNanos - copy.takenNanos() : 0));
     era++;
   }
 
-  private static Map<String, Group> copyOf(Map<String, Group> groups, long laterNanos) {
+  private static Map<String, Group> copyOf(Map<String, Group> groups, long extensionNanos) {
     Map<String, Group> copies = new HashMap<>();
-    groups.forEach((name, group) -> copies.put(name, group.copy(laterNanos)));
+    groups.forEach((name, group) -> copies.put(name, group.copy(extensionNanos)));
     return copies;
   }
 
@@ -100,21 +101,21 @@
     return era;
   }
 
-  /** Returns true if all calls of a member are lost. */
+  /** Returns true if all calls of a member fail. */
   boolean isDisconnected(String member) {
-    return cutMembers.contains(member);
+    return disconnectedMembers.contains(member);
   }
 
-  private boolean isLost(String member) {
-    return isAway || cutMembers.contains(member);
+  private boolean fails(String member) {
+    return isUnavailable || disconnectedMembers.contains(member);
   }
 
-  /** Returns how many calls joined a group or stayed in it. */
+  /** Returns the number of calls that joined a group or renewed a membership. */
   int joinCount() {
     return joinCount;
   }
 
-  /** Returns how many calls asked who owns a group. */
+  /** Returns the number of calls that read the owner of a group. */
   int ownerCount() {
     return ownerCount;
   }
@@ -127,24 +128,24 @@
       long generation,
       StoreCallback<PartitionGrant> callback) {
     joinCount++;
-    if (isLost(member)) {
+    if (fails(member)) {
       callback.onFault(StoreFault.NO_ANSWER);
       return;
     }
     Group group = group(name);
-    boolean isNew = !group.untilNanos.containsKey(member);
-    group.untilNanos.put(member, clockNanos.getAsLong() + TimeUnit.MILLISECONDS.toNanos(ttlMs));
+    boolean isNew = !group.expiryNanos.containsKey(member);
+    group.expiryNanos.put(member, clockNanos.getAsLong() + TimeUnit.MILLISECONDS.toNanos(ttlMs));
     group.generation += isNew ? 1 : 0;
     Set<Integer> held = new HashSet<>();
-    for (int part = 0; part < PARTITIONS; part++) {
-      boolean isOthers = !group.dealtTo(part).equals(member);
-      if (isOthers && generation >= group.generation) {
-        group.holders.remove(part, member);
-      } else if (!isOthers) {
-        group.holders.putIfAbsent(part, member);
+    for (int partition = 0; partition < PARTITIONS; partition++) {
+      boolean isAssignedToOther = !group.assignedTo(partition).equals(member);
+      if (isAssignedToOther && generation >= group.generation) {
+        group.holders.remove(partition, member);
+      } else if (!isAssignedToOther) {
+        group.holders.putIfAbsent(partition, member);
       }
-      if (member.equals(group.holders.get(part))) {
-        held.add(part);
+      if (member.equals(group.holders.get(partition))) {
+        held.add(partition);
       }
     }
     callback.onValue(new PartitionGrant(era, group.generation, held));
@@ -153,7 +154,7 @@
   @Override
   public void leave(String name, String member, long generation) {
     Group group = group(name);
-    if (!isLost(member) && group.untilNanos.remove(member) != null) {
+    if (!fails(member) && group.expiryNanos.remove(member) != null) {
       group.holders.values().removeIf(member::equals);
       group.generation++;
     }
@@ -162,7 +163,7 @@
   @Override
   public void owner(String name, StoreCallback<String> callback) {
     ownerCount++;
-    if (isAway) {
+    if (isUnavailable) {
       callback.onFault(StoreFault.NO_ANSWER);
       return;
     }
@@ -172,10 +173,10 @@
   private Group group(String name) {
     Group group = groups.computeIfAbsent(name, key -> new Group());
     long nowNanos = clockNanos.getAsLong();
-    if (group.untilNanos.values().removeIf(until -> until < nowNanos)) {
+    if (group.expiryNanos.values().removeIf(expiry -> expiry < nowNanos)) {
       group.generation++;
     }
-    group.holders.values().removeIf(holder -> !group.untilNanos.containsKey(holder));
+    group.holders.values().removeIf(holder -> !group.expiryNanos.containsKey(holder));
     return group;
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FormationNumberTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FormationNumberTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.shoreroad.edge.EventLog;
 
-/** The numbers of formations of a domain, where its owner gives it up and gets it again. */
+/** Tests the formation numbers of a domain whose owner loses the lease and gets it again. */
 class FormationNumberTest {
   private static final String DOMAIN = "s/d";
   private static final int STEP_MS = 100;
@@ -24,10 +24,16 @@
   private final FakeStore store = new FakeStore();
   private final DomainLeases leases =
       new DomainLeases(
-          store, channel.eventLoop(), () -> nowNanos, log, "me", new Alone(), () -> Set.of(DOMAIN));
+          store,
+          channel.eventLoop(),
+          () -> nowNanos,
+          log,
+          "me",
+          new NoPeers(),
+          () -> Set.of(DOMAIN));
 
-  /** A process that hears of no other. */
-  private static final class Alone implements DomainLeases.Peers {
+  /** Peers of a process that is the only one. */
+  private static final class NoPeers implements DomainLeases.Peers {
     @Override
     public int aliveCount() {
       return 1;
@@ -44,7 +50,7 @@
     }
   }
 
-  private void pass(int seconds) {
+  private void advance(int seconds) {
     for (int i = 0; i < seconds * 1_000 / STEP_MS; i++) {
       nowNanos += TimeUnit.MILLISECONDS.toNanos(STEP_MS);
       channel.advanceTimeBy(STEP_MS, TimeUnit.MILLISECONDS);
@@ -53,18 +59,18 @@
   }
 
   @Test
-  void aNumberIsNotGivenAgainUnderTheSameGeneration() {
+  void numberIsNotReusedUnderTheSameGeneration() {
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
     leases.start();
-    pass(10);
+    advance(10);
     assertThat(leases.grantedDomains(), contains(DOMAIN));
     long before = leases.nextEpoch(DOMAIN);
     store.failWith(StoreFault.NO_ANSWER);
-    pass(10);
+    advance(10);
     assertThat(leases.grantedDomains(), empty());
     store.failWith(null);
     store.grant(new PartitionGrant(StoreEra.NONE, 7, Set.of(0)));
-    pass(10);
+    advance(10);
     assertThat(leases.grantedDomains(), contains(DOMAIN));
     assertThat(leases.nextEpoch(DOMAIN), greaterThan(before));
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/FormationNumbersTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FormationNumbersTest.java
@@ -10,14 +10,14 @@
   private final FormationNumbers numbers = new FormationNumbers();
 
   @Test
-  void aNumberBeginsWithTheFencingNumber() {
+  void numberStartsWithTheFencingNumber() {
     assertThat(numbers.next(7), is((7L << 20) + 1));
     assertThat(numbers.next(7), is((7L << 20) + 2));
     assertThat(numbers.next(9), is((9L << 20) + 1));
   }
 
   @Test
-  void numbersRiseAlsoIfTheFencingNumberDoesNot() {
+  void numbersIncreaseEvenIfTheFencingNumberDoesNot() {
     long first = numbers.next(7);
     assertThat(numbers.next(6), greaterThan(first));
   }
