--- a/edge/src/test/java/org/shoreroad/edge/sync/FakeStore.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FakeStore.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** A store in memory that answers at once, unless it is told to fail; used by one thread. */
+/** In-memory store that answers immediately, or fails if so configured. Not thread-safe. */
 final class FakeStore implements Store, LeaseStore {
   static final int PAGE_RECORDS = 2;
 
@@ -30,10 +30,10 @@
     return StorePosition.of(era, records.size());
   }
 
-  /** Comes back from a copy that lacks the last records; their offsets are assigned again. */
-  void restoreOlderCopy(int lost) {
+  /** Restores a copy that lacks the last records; their offsets are assigned again. */
+  void restoreOlderCopy(int lostRecords) {
     era++;
-    records.subList(records.size() - lost, records.size()).clear();
+    records.subList(records.size() - lostRecords, records.size()).clear();
   }
 
   void trim() {
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowerAndFleetTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowerAndFleetTest.java
@@ -17,7 +17,7 @@
 import org.shoreroad.fleet.Membership;
 import org.shoreroad.fleet.ReplicaId;
 
-/** Following a topic, and the fleet made of it; with a clock that the test turns. */
+/** Tests of a topic follower and of the fleet built from its records, with a fake clock. */
 class FollowerAndFleetTest extends FollowerFixture {
   private final Fleet fleet = new Fleet(FollowerAndFleetTest::decode, () -> nowNanos, log);
 
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void allPagesAreReadThenEveryRecord() {
+  void allPagesThenAllRecordsAreRead() {
     for (int i = 0; i < 5; i++) {
       store.put("k" + i, "v" + i);
     }
@@ -44,22 +44,22 @@
     assertThat(follower.isCurrent(), is(true));
     store.put("k1", "new");
     store.put("k2", null);
-    pass(SECOND_NANOS / 1_000);
+    advance(SECOND_NANOS / 1_000);
     assertThat(seen.get("k1"), is("new"));
     assertThat(seen.get("k2"), is("-"));
   }
 
   @Test
-  void theProofCountsFromTheSending() {
+  void proofCountsFromSendingTheRead() {
     follower.start();
     assertThat(follower.provenNanos(), is(nowNanos));
     store.failWith(StoreFault.NO_ANSWER);
-    pass(2 * SECOND_NANOS);
+    advance(2 * SECOND_NANOS);
     assertThat(follower.provenNanos(), is(nowNanos - 2 * SECOND_NANOS));
   }
 
   @Test
-  void aProofCanBeRenewedBesideTheReadThatWaits() {
+  void proofIsRenewedWhileALongPollWaits() {
     follower.start();
     store.put("a", "1");
     nowNanos += 2 * SECOND_NANOS;
@@ -74,29 +74,29 @@
   }
 
   @Test
-  void aTrimmedHistoryIsReadAnewFromTheNewest() {
+  void trimmedTopicIsListedAgain() {
     store.put("a", "1");
     follower.start();
     store.put("b", "2");
     store.trim();
-    pass(SECOND_NANOS / 1_000);
+    advance(SECOND_NANOS / 1_000);
     assertThat(seen.keySet(), contains("a", "b"));
     assertThat(store.calls(), hasItem("newest "));
   }
 
   @Test
-  void aFaultIsFollowedByAPauseAndAnotherCall() {
+  void faultIsRetriedAfterAPause() {
     store.put("a", "1");
     store.failWith(StoreFault.REFUSED);
     follower.start();
     assertThat(follower.isCurrent(), is(false));
     store.failWith(null);
-    pass(SECOND_NANOS);
+    advance(SECOND_NANOS);
     assertThat(follower.isCurrent(), is(true));
   }
 
   @Test
-  void aPeersProofCountsOnlyIfThisProcessHasReadAsFar() {
+  void peerProofIsAcceptedOnlyUpToOwnPosition() {
     store.put("a", "1");
     follower.start();
     long proven = follower.provenNanos();
@@ -108,7 +108,7 @@
     assertThat(follower.provenNanos(), is(proven + 50));
   }
 
-  private ListUpdate told(long from, long end, StoreRecord... records) {
+  private ListUpdate peerUpdate(long from, long end, StoreRecord... records) {
     return new ListUpdate(
         StorePosition.of(1, from),
         StorePosition.of(1, end),
@@ -118,15 +118,16 @@
   }
 
   @Test
-  void whomPeersTellDoesNotReadItself() {
+  void followerDoesNotReadWhilePeersSendUpdates() {
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     int calls = store.calls().size();
     byte[] two = {'2'};
     for (int i = 0; i < 20; i++) {
-      follower.applyPeerUpdate(told(1, 5, new StoreRecord(StorePosition.of(1, 3), "b", two)), nowNanos);
-      pass(SECOND_NANOS / 5);
+      follower.applyPeerUpdate(
+          peerUpdate(1, 5, new StoreRecord(StorePosition.of(1, 3), "b", two)), nowNanos);
+      advance(SECOND_NANOS / 5);
     }
     assertThat(store.calls().size(), is(calls));
     assertThat(seen.get("b"), is("2"));
@@ -135,39 +136,39 @@
   }
 
   @Test
-  void whenPeersCeaseToTellItReadsItself() {
+  void followerReadsAgainWhenPeerUpdatesStop() {
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
-    follower.applyPeerUpdate(told(1, 1), nowNanos);
+    follower.applyPeerUpdate(peerUpdate(1, 1), nowNanos);
     int calls = store.calls().size();
-    pass(SECOND_NANOS / 5);
+    advance(SECOND_NANOS / 5);
     assertThat(store.calls().size(), is(calls));
-    pass(2 * SECOND_NANOS);
-    pass(SECOND_NANOS);
+    advance(2 * SECOND_NANOS);
+    advance(SECOND_NANOS);
     assertThat(store.calls().size(), is(greaterThan(calls)));
   }
 
   @Test
-  void anOldProofByPeersIsNotReliedOn() {
+  void oldPeerProofDoesNotReplaceReads() {
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     int calls = store.calls().size();
     long firstNanos = nowNanos;
     for (int i = 0; i < 25; i++) {
-      follower.applyPeerUpdate(told(1, 1), firstNanos);
-      pass(SECOND_NANOS / 5);
+      follower.applyPeerUpdate(peerUpdate(1, 1), firstNanos);
+      advance(SECOND_NANOS / 5);
     }
     assertThat(store.calls().size(), is(greaterThan(calls)));
   }
 
   @Test
-  void aReaderThatTheStoreTurnsAwayDoesNotHideThatOthersReachIt() {
+  void peerRejectedByTheStoreDoesNotHideThatOthersReachIt() {
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
-    follower.applyPeerUpdate(told(1, 1), nowNanos);
+    follower.applyPeerUpdate(peerUpdate(1, 1), nowNanos);
     follower.applyPeerUpdate(
         new ListUpdate(StorePosition.of(1, 1), StorePosition.of(1, 1), 0, 0, List.of()),
         nowNanos - SECOND_NANOS);
@@ -175,41 +176,41 @@
   }
 
   @Test
-  void aFollowerThatNeedsNothingReadsOnFromWhereItStopped() {
+  void suspendedFollowerContinuesFromItsLastPosition() {
     boolean[] isNeedless = {false};
     store.put("a", "1");
     follower.suspendReadsWhile(() -> isNeedless[0], 30_000);
     follower.start();
     isNeedless[0] = true;
-    pass(SECOND_NANOS);
+    advance(SECOND_NANOS);
     int calls = store.calls().size();
     store.put("b", "2");
     store.put("a", "3");
     for (int i = 0; i < 50; i++) {
-      pass(SECOND_NANOS / 5);
+      advance(SECOND_NANOS / 5);
     }
     assertThat(store.calls().size(), is(calls));
     isNeedless[0] = false;
-    pass(SECOND_NANOS / 5);
+    advance(SECOND_NANOS / 5);
     assertThat(seen.get("a"), is("3"));
     assertThat(seen.get("b"), is("2"));
   }
 
   @Test
-  void aFollowerThatNeedsNothingReadsOnceInAWhileAllTheSame() {
+  void suspendedFollowerStillReadsAtTheLongestInterval() {
     store.put("a", "1");
     follower.suspendReadsWhile(() -> true, 3_000);
     follower.start();
     int calls = store.calls().size();
     store.put("b", "2");
-    pass(2 * SECOND_NANOS);
+    advance(2 * SECOND_NANOS);
     assertThat(store.calls().size(), is(calls));
-    pass(2 * SECOND_NANOS);
+    advance(2 * SECOND_NANOS);
     assertThat(seen.get("b"), is("2"));
   }
 
   @Test
-  void whatAPeerHasReadIsNoProof() {
+  void acknowledgementOfAPeerIsNoProof() {
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
@@ -217,36 +218,36 @@
     long provenNanos = follower.provenNanos();
     for (int i = 0; i < 10; i++) {
       follower.applyPeerUpdate(ListUpdate.readTo(StorePosition.of(1, 1)), nowNanos);
-      pass(SECOND_NANOS / 5);
+      advance(SECOND_NANOS / 5);
     }
     assertThat(store.calls().size(), is(greaterThan(calls)));
     assertThat(follower.provenNanos(), is(greaterThan(provenNanos)));
   }
 
   @Test
-  void aStretchThatBeginsTooLateIsNotTakenOver() {
+  void peerUpdateWithAGapBeforeItIsIgnored() {
     store.put("a", "1");
     follower.start();
     follower.applyPeerUpdate(
-        told(2, 9, new StoreRecord(StorePosition.of(1, 8), "b", new byte[] {'2'})), nowNanos);
+        peerUpdate(2, 9, new StoreRecord(StorePosition.of(1, 8), "b", new byte[] {'2'})), nowNanos);
     assertThat(seen.containsKey("b"), is(false));
     assertThat(follower.next().offset(), is(1L));
   }
 
   @Test
-  void aPeerThatKnowsOfMoreMakesItRead() {
+  void proofBeyondOwnPositionCausesARead() {
     store.put("a", "1");
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     follower.acceptPeerProof(StorePosition.of(1, 1), nowNanos);
     store.put("b", "2");
     follower.acceptPeerProof(StorePosition.of(1, 2), nowNanos);
-    pass(SECOND_NANOS);
+    advance(SECOND_NANOS);
     assertThat(seen.get("b"), is("2"));
   }
 
   @Test
-  void whatMembersSayChangesNothingThatRequestsGoBy() {
+  void reportsOfMembersDoNotAffectRouting() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     FleetBox box = fleet.find("i-1");
@@ -261,7 +262,7 @@
   }
 
   @Test
-  void boxesAreFoundByTheirDomainUntilTheyAreGone() {
+  void boxesAreIndexedByDomainUntilRemoved() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     FleetBox box = fleet.find("i-1");
@@ -278,7 +279,7 @@
   }
 
   @Test
-  void onlyWhatChangedSomethingIsToldOn() {
+  void onlyChangesAreRecentChanges() {
     byte[] entry = "ready".getBytes(StandardCharsets.UTF_8);
     fleet.onListed(Set.of(), StorePosition.of(1, 0));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 0), "i-1", entry));
@@ -295,7 +296,7 @@
   }
 
   @Test
-  void anEntryThatLapsedWhileTheStoreWasAwayIsKept() {
+  void entryThatLapsedInAStoreOutageIsKept() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", null));
@@ -308,7 +309,7 @@
   }
 
   @Test
-  void anEntryMissingInCalmTimesIsOffTheListAtOnceButTheBoxIsKnown() {
+  void entryRemovedWithoutAnOutageIsOffTheListButTheBoxIsKnown() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", null));
@@ -320,20 +321,20 @@
   }
 
   @Test
-  void aLaterLifeAtTheSameAddressEndsTheFormerOne() {
+  void laterUpstreamAtTheSameAddressEndsTheFormerOne() {
     byte[] entry = "at h:9".getBytes(StandardCharsets.UTF_8);
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 3), "old", entry));
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 7), "new", entry));
     assertThat(fleet.find("old") == null, is(true));
     assertThat(fleet.isListed("new"), is(true));
-    // A listing comes in the order of the keys.
+    // A listing is in the order of the keys, so the older entry may follow.
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 3), "old", entry));
     assertThat(fleet.find("old") == null, is(true));
     assertThat(fleet.isListed("new"), is(true));
   }
 
   @Test
-  void aFullListingTakesOffWhatItLacks() {
+  void fullListingRemovesMissingUpstreams() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(
@@ -345,7 +346,7 @@
   }
 
   @Test
-  void anEntryThatLagsBehindTheEnginesReportDoesNotUndoIt() {
+  void entryOlderThanTheEngineReportDoesNotOverrideIt() {
     byte[] entry = "ready".getBytes(StandardCharsets.UTF_8);
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 0), "i-1", entry));
     FleetBox report =
@@ -362,11 +363,11 @@
   }
 
   @Test
-  void anEntryThatWasHeldBackCountsOnceTheReportAgainstItIsOld() {
+  void overriddenEntryIsAppliedOnceTheReportIsOld() {
     byte[] entry = "ready".getBytes(StandardCharsets.UTF_8);
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 0), "i-1", entry));
     fleet.update(member(fleet.find("i-1"), "m", MemberState.READY));
-    // The box leaves its replica, and its entry says so; it writes no further one.
+    // The box leaves its replica and writes an entry without it, and no further one.
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 1), "i-1", entry));
     fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.find("i-1").membership() == null, is(false));
@@ -376,7 +377,7 @@
   }
 
   @Test
-  void anEntryOfAReplicaThatTheBoxHasLeftDoesNotUndoTheLeaving() {
+  void entryOlderThanLeavingAReplicaDoesNotUndoIt() {
     byte[] entry = "member".getBytes(StandardCharsets.UTF_8);
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 0), "i-1", entry));
     FleetBox listed = fleet.find("i-1");
@@ -386,13 +387,13 @@
     assertThat(fleet.find("i-1").membership() == null, is(true));
   }
 
-  private static FleetBox unlisted(String id, String address) {
+  private static FleetBox unlistedBox(String id, String address) {
     return new FleetBox(id, "s", address, "z", 1, true, "d", null, List.of(), null);
   }
 
   @Test
-  void aBoxThatTheListDoesNotHoldCanBeKnownAndGetsNoRequests() {
-    assertThat(fleet.addUnlisted(unlisted("i-9", "h:9")), is(true));
+  void unlistedBoxIsKnownButGetsNoRequests() {
+    assertThat(fleet.addUnlisted(unlistedBox("i-9", "h:9")), is(true));
     assertThat(fleet.find("i-9") == null, is(false));
     assertThat(fleet.isEligible("i-9"), is(false));
     fleet.onRecord(
@@ -401,10 +402,10 @@
   }
 
   @Test
-  void aBoxAtWhoseAddressAnotherLifeIsListedIsOver() {
+  void unlistedBoxAtTheAddressOfAListedOneIsRejected() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 1), "new", "at h:9".getBytes(StandardCharsets.UTF_8)));
-    assertThat(fleet.addUnlisted(unlisted("i-9", "h:9")), is(false));
+    assertThat(fleet.addUnlisted(unlistedBox("i-9", "h:9")), is(false));
     assertThat(fleet.find("i-9") == null, is(true));
   }
 
@@ -418,7 +419,7 @@
   }
 
   @Test
-  void whatABoxHeldLastIsRememberedUntilItTakesSomethingElse() {
+  void lastModelIsKeptUntilTheBoxLoadsAnother() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "ready".getBytes(StandardCharsets.UTF_8)));
     FleetBox box = fleet.find("i-1");
@@ -431,7 +432,7 @@
   }
 
   @Test
-  void anUnreadableEntryLeavesTheOldOne() {
+  void unreadableEntryDoesNotReplaceTheOldOne() {
     fleet.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "i-1", "leaving".getBytes(StandardCharsets.UTF_8)));
     fleet.onRecord(
@@ -445,16 +446,16 @@
   }
 
   /**
-   * An entry of another writer named a service that nobody had declared, at the address of an
-   * upstream. It was taken for a later process there, and the upstream was forgotten.
+   * An entry of another writer with an undeclared service and the address of an upstream must not
+   * be mistaken for a later process there, which would remove the upstream.
    */
   @Test
-  void anEntryOfAnUndeclaredServiceTakesNoAddress() {
+  void entryOfAnUndeclaredServiceTakesNoAddress() {
     List<EntryFault> faults = new ArrayList<>();
     fleet.setServiceCheck(name -> name.equals("s"));
     fleet.setFaultListener(faults::add);
     put("a", "at 10.0.0.1:1", 1);
-    put("foreign", "of nobody", 2);
+    put("other", "of nobody", 2);
     put("h-b:1", "of nobody", 3);
     put("b", "plain", 4);
     put("x", "of nobody", 5);
@@ -466,18 +467,18 @@
   }
 
   @Test
-  void whatWasReadBeforeTheServicesWereKnownIsDroppedThen() {
+  void undeclaredUpstreamsAreRemovedOnceServicesAreKnown() {
     put("a", "plain", 1);
-    put("foreign", "of nobody", 2);
+    put("other", "of nobody", 2);
     assertThat(fleet.boxes().size(), is(2));
     fleet.setServiceCheck(name -> name.equals("s"));
     fleet.dropUndeclared();
-    assertThat(fleet.find("foreign") == null, is(true));
+    assertThat(fleet.find("other") == null, is(true));
     assertThat(fleet.find("a") != null, is(true));
   }
 
   @Test
-  void anUnusableEntryLeavesTheLastGoodOneUntilTheUpstreamIsGone() {
+  void unusableEntryKeepsTheLastGoodOneUntilRemoval() {
     put("a", "plain", 1);
     put("a", "bad", 2);
     assertThat(fleet.isListed("a"), is(true));
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowerFixture.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowerFixture.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.shoreroad.edge.EventLog;
 
-/** A follower of a store in memory, with a clock that the test turns. */
+/** Follower of an in-memory store with a fake clock. */
 abstract class FollowerFixture {
   static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -35,8 +35,8 @@
     }
   }
 
-  /** Lets time pass for the follower's next call. */
-  final void pass(long nanos) {
+  /** Advances the clock and runs the scheduled tasks of the follower. */
+  final void advance(long nanos) {
     nowNanos += nanos;
     channel.advanceTimeBy(nanos, TimeUnit.NANOSECONDS);
     channel.runScheduledPendingTasks();
--- a/edge/src/test/java/org/shoreroad/edge/sync/OlderCopyTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/OlderCopyTest.java
@@ -17,26 +17,26 @@
 import org.shoreroad.fleet.Membership;
 import org.shoreroad.fleet.ReplicaId;
 
-/** The replica of a box, where the store came back from a copy older than the replica. */
+/** Tests the known replica of a box after the store was restored from a copy older than it. */
 class OlderCopyTest {
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final String HEAD = "a";
-  private static final String NO_GROUP = "none";
+  private static final String NO_REPLICA = "none";
 
   private long nowNanos = TimeUnit.HOURS.toNanos(1);
   private final EventLog log = new EventLog("t", () -> nowNanos, OutputStream.nullOutputStream());
   private final Fleet fleet = new Fleet(OlderCopyTest::decode, () -> nowNanos, log);
 
-  /** Reads entries like {@code "OPEN 5"}: the state in the replica and its epoch. */
+  /** Decodes entries like {@code "OPEN 5"}: the state in the replica and its epoch. */
   private static FleetBox decode(String id, byte[] entry) {
     String[] words = new String(entry, StandardCharsets.UTF_8).split(" ");
     FleetBox box = new FleetBox(id, "s", "h:1", "z", 1, false, "d", null, List.of(), null);
-    return words[0].equals(NO_GROUP)
+    return words[0].equals(NO_REPLICA)
         ? box
-        : box.withEngineState("m", List.of("m"), in(words[0], Long.parseLong(words[1])));
+        : box.withEngineState("m", List.of("m"), membership(words[0], Long.parseLong(words[1])));
   }
 
-  private static Membership in(String state, long epoch) {
+  private static Membership membership(String state, long epoch) {
     return new Membership(new ReplicaId("r", epoch), 0, MemberState.valueOf(state));
   }
 
@@ -46,77 +46,77 @@
   }
 
   private void report(MemberState state) {
-    fleet.update(fleet.find(HEAD).withEngineState("m", List.of("m"), in(state.name(), 5)));
+    fleet.update(fleet.find(HEAD).withEngineState("m", List.of("m"), membership(state.name(), 5)));
   }
 
   private @Nullable Membership known() {
     return fleet.find(HEAD).membership();
   }
 
-  private void pass(long seconds) {
+  private void advance(long seconds) {
     nowNanos += seconds * SECOND;
     fleet.reconcile(seconds * SECOND);
   }
 
-  /** Lets the box report an open replica, and then nothing for three seconds. */
+  /** Makes the box report an open replica, and then nothing for three seconds. */
   private void openThenPartition() {
-    entry(1, 0, NO_GROUP);
+    entry(1, 0, NO_REPLICA);
     report(MemberState.OPEN);
-    pass(3);
+    advance(3);
   }
 
   /** Lists a copy of the store from before the replica. */
   private void listCopy() {
-    entry(2, 0, NO_GROUP);
+    entry(2, 0, NO_REPLICA);
     fleet.onListed(Set.of(HEAD), StorePosition.of(2, 1));
   }
 
   @Test
-  void aCopyFromBeforeAReplicaDoesNotEndIt() {
+  void copyOlderThanAReplicaDoesNotEndIt() {
     openThenPartition();
     listCopy();
-    assertThat(known(), is(in("OPEN", 5)));
-    pass(2);
-    assertThat(known(), is(in("OPEN", 5)));
+    assertThat(known(), is(membership("OPEN", 5)));
+    advance(2);
+    assertThat(known(), is(membership("OPEN", 5)));
   }
 
   @Test
-  void whatTheListSaidBeforeIsKeptTheSameWay() {
-    entry(1, 0, NO_GROUP);
+  void replicaKnownFromTheListIsKeptToo() {
+    entry(1, 0, NO_REPLICA);
     entry(1, 1, "OPEN 5");
-    pass(3);
+    advance(3);
     listCopy();
-    assertThat(known(), is(in("OPEN", 5)));
+    assertThat(known(), is(membership("OPEN", 5)));
   }
 
-  /** What upstreams wrote since the copy is written again within seconds; then the list counts. */
+  /** Upstreams repeat writes that the copy lacks within seconds; then the list is valid again. */
   @Test
-  void theEntryCountsOnceItMustHaveBeenWrittenAgain() {
+  void entryIsAppliedOnceItMustHaveBeenWrittenAgain() {
     openThenPartition();
     listCopy();
-    pass(6);
+    advance(6);
     assertThat(known(), nullValue());
   }
 
   @Test
-  void theBoxsOwnReportCountsAtOnce() {
+  void reportOfTheBoxIsAppliedAtOnce() {
     openThenPartition();
-    entry(2, 0, NO_GROUP);
+    entry(2, 0, NO_REPLICA);
     fleet.update(fleet.find(HEAD).withEngineState("m", List.of("m"), null));
     assertThat(known(), nullValue());
   }
 
   @Test
-  void aLaterFormationInTheListCountsAtOnce() {
+  void laterFormationInTheListIsAppliedAtOnce() {
     openThenPartition();
     entry(2, 0, "OPEN 7");
-    assertThat(known(), is(in("OPEN", 7)));
+    assertThat(known(), is(membership("OPEN", 7)));
   }
 
   @Test
-  void theFirstListingOfAProcessCountsAtOnce() {
+  void entriesOfTheFirstEraAreAppliedAtOnce() {
     entry(1, 0, "OPEN 5");
-    entry(1, 1, NO_GROUP);
+    entry(1, 1, NO_REPLICA);
     assertThat(known(), nullValue());
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/RestartedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/RestartedUpstreamTest.java
@@ -20,11 +20,11 @@
 import org.shoreroad.fleet.ReplicaId;
 
 /**
- * An upstream that starts again under the id that it had, told apart by its start time.
+ * Tests of an upstream that restarts under the same id and is distinguished by its start time.
  *
- * <p>It holds nothing of what it held before. What was known of the former run stood until the next
- * report: for up to 1.5 s the restarted box was a member of its former replica, and it was expected
- * to hold the weights that it had held.
+ * <p>A restarted box has lost its state. If the state of the former incarnation were kept until the
+ * next report, for up to 1.5 s the box would count as a member of its former replica and would be
+ * expected to hold its former weights.
  */
 class RestartedUpstreamTest {
   private static final long MILLI_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -41,7 +41,7 @@
     fleet.addRemovalListener(box -> endedMs.add(box.bornMs()));
   }
 
-  /** Reads entries like {@code "7 ready"}: the start time and the state. */
+  /** Decodes entries like {@code "7 ready"}: the start time and the state. */
   private static FleetBox decode(String id, byte[] entry) {
     String[] words = new String(entry, StandardCharsets.UTF_8).split(" ");
     boolean isLeaving = words[1].equals("leaving");
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void nothingOfTheFormerRunCountsOnceItsRestartIsListed() {
+  void stateOfTheFormerIncarnationIsDroppedWhenTheRestartIsListed() {
     entry("7 ready");
     fleet.update(report(7));
     nowNanos += 100 * MILLI_NANOS;
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aClockThatWasSetBackMakesNoDifference() {
+  void restartIsDetectedAfterTheClockWasSetBack() {
     entry("9 ready");
     entry("7 ready");
     assertThat(fleet.find("a").bornMs(), is(7L));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void aLateReportOfTheFormerRunIsDropped() {
+  void lateReportOfTheFormerIncarnationIsDropped() {
     entry("7 ready");
     entry("9 ready");
     assertThat(fleet.update(report(7)), is(false));
@@ -90,14 +90,14 @@
   }
 
   @Test
-  void aReportOfALaterRunEndsTheFormerOneBeforeItsEntryIsRead() {
+  void reportOfALaterIncarnationEndsTheFormerOneBeforeItsEntry() {
     entry("7 leaving");
     fleet.update(report(7));
     assertThat(fleet.update(report(9)), is(true));
     assertThat(endedMs, contains(7L));
     assertThat(fleet.find("a").bornMs(), is(9L));
     assertThat(fleet.isEligible("a"), is(true));
-    // A listing may still hold the former run's entry.
+    // A listing may still contain the entry of the former incarnation.
     entry("7 leaving");
     assertThat(fleet.find("a").bornMs(), is(9L));
     entry("9 ready");
@@ -106,16 +106,16 @@
   }
 
   @Test
-  void anUpstreamThatDoesNotTellItsStartIsNotTakenForAnotherRun() {
+  void missingStartTimeIsNoRestart() {
     entry("7 ready");
     assertThat(fleet.update(report(0)), is(true));
     entry("0 ready");
     assertThat(endedMs.isEmpty(), is(true));
   }
 
-  /** It answers, but its entry was taken away: only the list puts an upstream into service. */
+  /** The upstream answers, but its entry was removed: only the list puts it into service. */
   @Test
-  void aReportDoesNotPutAnUpstreamOnTheListThatWasTakenOff() {
+  void reportDoesNotListAnUpstreamThatWasRemoved() {
     entry("7 ready");
     fleet.onRecord(new StoreRecord(StorePosition.of(1, offset++), "a", null));
     fleet.reconcile(TimeUnit.MINUTES.toNanos(1));
@@ -128,18 +128,18 @@
     assertThat(fleet.isEligible("a"), is(true));
   }
 
-  /** A peer's report may be on its way while the restart is listed. */
+  /** A peer's report may be in transit while the restart is listed. */
   @Test
-  void aPeersReportOfAnotherRunIsDropped() {
+  void peerReportOfAnotherIncarnationIsDropped() {
     entry("9 ready");
     assertThat(fleet.updateByPeer(report(7)), is(false));
     assertThat(fleet.find("a").bornMs(), is(9L));
     assertThat(fleet.updateByPeer(report(9)), is(true));
   }
 
-  /** The store comes back from a copy that is older than the restart. */
+  /** The store is restored from a copy that is older than the restart. */
   @Test
-  void aCopyDoesNotBringTheFormerRunBack() {
+  void copyDoesNotRestoreTheFormerIncarnation() {
     offset = 50;
     entry("9 ready");
     byte[] former = "7 ready".getBytes(StandardCharsets.UTF_8);
@@ -153,9 +153,9 @@
     assertThat(endedMs.isEmpty(), is(true));
   }
 
-  /** Whatever ended a run here by mistake, its own later entry brings it back. */
+  /** An incarnation that was ended by mistake is restored by its own later entry. */
   @Test
-  void aRunThatWritesAfterTheEntryThatEndedItRuns() {
+  void endedIncarnationThatWritesAgainIsRunning() {
     entry("7 ready");
     entry("9 ready");
     entry("7 ready");
--- a/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StoreEraFollowingTest.java
@@ -11,11 +11,11 @@
 import org.shoreroad.fleet.FleetBox;
 
 /**
- * Following a store that comes back from an older copy.
+ * Tests of following a store that is restored from an older copy.
  *
- * <p>Users saw requests reach an upstream 3.1 s after it had announced that it leaves. The store
- * had come back older and assigned offsets again; the leaving stood at an offset that two processes
- * took for read. The tests lose records and write others at the same offsets.
+ * <p>Without eras, requests reached an upstream 3.1 s after it had announced that it leaves. The
+ * restored store had assigned offsets again, and the leaving entry had an offset that two processes
+ * regarded as read. The tests lose records and write others at the same offsets.
  */
 class StoreEraFollowingTest extends FollowerFixture {
   private final Fleet fleet = new Fleet(StoreEraFollowingTest::decode, () -> nowNanos, log);
@@ -31,7 +31,7 @@
     return StorePosition.of(era, offset);
   }
 
-  private ListUpdate told(StorePosition from, StorePosition end, StoreRecord... records) {
+  private ListUpdate peerUpdate(StorePosition from, StorePosition end, StoreRecord... records) {
     return new ListUpdate(from, end, 0, 60 * SECOND_NANOS, List.of(records));
   }
 
@@ -42,41 +42,41 @@
   }
 
   @Test
-  void recordsAtOffsetsAssignedAgainAreReadByThoseWhoReadOn() {
+  void reassignedOffsetsAreReadByTheReader() {
     put(3);
     follower.start();
     store.restoreOlderCopy(2);
     store.put("b", "leaving");
     store.put("c", "1");
     store.put("d", "1");
-    pass(SECOND_NANOS / 100);
+    advance(SECOND_NANOS / 100);
     assertThat(seen.get("b"), is("leaving"));
     assertThat(follower.next(), is(at(2, 4)));
   }
 
   @Test
-  void recordsAtOffsetsAssignedAgainAreReadByThoseWhomPeersTell() {
+  void reassignedOffsetsAreReadByAFollowerOfPeers() {
     put(3);
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     store.restoreOlderCopy(2);
     store.put("b", "leaving");
     for (int i = 0; i < 5; i++) {
-      follower.applyPeerUpdate(told(at(2, 1), at(2, 2)), nowNanos);
-      pass(SECOND_NANOS / 5);
+      follower.applyPeerUpdate(peerUpdate(at(2, 1), at(2, 2)), nowNanos);
+      advance(SECOND_NANOS / 5);
     }
     assertThat(seen.get("b"), is("leaving"));
   }
 
   @Test
-  void aPeerOfAnEarlierEraProvesNothing() {
+  void proofOfAPeerInAnEarlierEraIsIgnored() {
     put(3);
     store.restoreOlderCopy(2);
     follower.start();
     long provenNanos = follower.provenNanos();
     nowNanos += SECOND_NANOS;
     StoreRecord lost = new StoreRecord(at(1, 2), "lost", "1".getBytes(StandardCharsets.UTF_8));
-    follower.applyPeerUpdate(told(at(1, 1), at(1, 3), lost), nowNanos);
+    follower.applyPeerUpdate(peerUpdate(at(1, 1), at(1, 3), lost), nowNanos);
     follower.acceptPeerProof(at(1, 1), nowNanos);
     assertThat(follower.provenNanos(), is(provenNanos));
     assertThat(seen.containsKey("lost"), is(false));
@@ -84,36 +84,36 @@
   }
 
   @Test
-  void aPeerThatTellsNoEraProvesNothing() {
+  void proofOfAPeerWithoutAnEraIsIgnored() {
     put(3);
     follower.start();
     long provenNanos = follower.provenNanos();
     nowNanos += SECOND_NANOS;
     follower.acceptPeerProof(at(StorePosition.UNKNOWN_ERA, 3), nowNanos);
-    follower.applyPeerUpdate(told(at(-1, 3), at(-1, 3)), nowNanos);
+    follower.applyPeerUpdate(peerUpdate(at(-1, 3), at(-1, 3)), nowNanos);
     assertThat(follower.provenNanos(), is(provenNanos));
   }
 
   @Test
-  void aProofOfALaterEraMakesItListAnew() {
+  void proofOfALaterEraCausesAListing() {
     put(3);
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     store.restoreOlderCopy(2);
     store.put("b", "1");
     follower.acceptPeerProof(at(2, 2), nowNanos);
-    pass(SECOND_NANOS);
+    advance(SECOND_NANOS);
     assertThat(seen.get("b"), is("1"));
     assertThat(follower.next(), is(at(2, 2)));
   }
 
   @Test
-  void aProofThatIsAskedForIsNotTakenOverEras() {
+  void renewedProofIsNotAcceptedAcrossEras() {
     put(3);
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.start();
     long provenNanos = follower.provenNanos();
-    follower.applyPeerUpdate(told(at(1, 3), at(1, 3)), nowNanos);
+    follower.applyPeerUpdate(peerUpdate(at(1, 3), at(1, 3)), nowNanos);
     store.restoreOlderCopy(2);
     put(3);
     nowNanos += SECOND_NANOS / 10;
@@ -122,19 +122,19 @@
   }
 
   @Test
-  void anEraThatAnotherCallTellsIsFollowedAfterADelay() {
+  void newEraOfAnotherCallCausesAListingAfterADelay() {
     put(3);
     follower.readThroughPeersWhile(() -> true, 3_000);
     follower.setListingDelay(() -> 400);
     follower.start();
     int calls = store.calls().size();
     store.restoreOlderCopy(2);
-    follower.applyPeerUpdate(told(at(1, 3), at(1, 3)), nowNanos);
+    follower.applyPeerUpdate(peerUpdate(at(1, 3), at(1, 3)), nowNanos);
     follower.noteEra(2);
     follower.noteEra(2);
-    pass(SECOND_NANOS / 5);
+    advance(SECOND_NANOS / 5);
     assertThat(store.calls().size(), is(calls));
-    pass(SECOND_NANOS / 4);
+    advance(SECOND_NANOS / 4);
     assertThat(follower.next(), is(at(2, 1)));
     long listings = store.calls().stream().filter(call -> call.equals("newest ")).count();
     assertThat(listings, is(2L));
@@ -145,13 +145,13 @@
     fleet.onRecord(new StoreRecord(at(era, offset), id, bytes));
   }
 
-  /** Twenty entries of one upstream, of which the copy has ten; then another one at its address. */
+  /** The copy has ten of twenty entries of an upstream; another one then has its address. */
   @Test
-  void aLaterUpstreamAtALowerOffsetTakesItsAddress() {
+  void laterUpstreamAtALowerOffsetTakesItsAddress() {
     for (int i = 0; i < 20; i++) {
       entry(1, i, "old", "h:1 ready");
     }
-    // A listing comes in the order of the keys.
+    // A listing is in the order of the keys, so the later upstream may come first.
     entry(2, 10, "new", "h:1 ready");
     entry(2, 9, "old", "h:1 ready");
     fleet.onListed(Set.of("new", "old"), at(2, 11));
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void anUpstreamThatTheCopyLacksKeepsItsAddressUntilItIsOffTheList() {
+  void upstreamMissingInTheCopyKeepsItsAddressUntilUnlisted() {
     entry(1, 3, "old", "h:1 ready");
     entry(1, 9, "new", "h:1 ready");
     entry(2, 3, "old", "h:1 ready");
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void anAddressGoesToTheOnlyOneListedOnceTheOtherDoesNotReturn() {
+  void addressPassesToTheListedOneWhenTheOtherDoesNotReturn() {
     entry(1, 9, "one", "h:1 ready");
     entry(2, 3, "two", "h:1 ready");
     fleet.onListed(Set.of("two"), at(2, 4));
@@ -184,7 +184,7 @@
   }
 
   @Test
-  void aLeavingThatTheCopyLacksStands() {
+  void leavingMissingInTheCopyIsKept() {
     entry(1, 3, "a", "h:1 ready");
     entry(1, 9, "a", "h:1 leaving");
     entry(2, 3, "a", "h:1 ready");
@@ -195,7 +195,7 @@
   }
 
   @Test
-  void aLeavingOfAnEarlierRunDoesNotBindALaterOne() {
+  void leavingIsRevokedByAnEntryBeyondTheListing() {
     entry(1, 3, "a", "h:1 ready");
     entry(1, 9, "a", "h:1 leaving");
     entry(2, 3, "a", "h:1 ready");
@@ -205,7 +205,7 @@
   }
 
   @Test
-  void aRemovalThatTheCopyLacksStandsForFiveSeconds() {
+  void removalMissingInTheCopyIsKeptForFiveSeconds() {
     entry(1, 3, "a", "h:1 ready");
     fleet.onRecord(new StoreRecord(at(1, 9), "a", null));
     fleet.reconcile(60 * SECOND_NANOS);
@@ -219,7 +219,7 @@
   }
 
   @Test
-  void anEntryWrittenAgainAfterARemovalCountsAtOnce() {
+  void entryWrittenAgainAfterARemovalIsAppliedAtOnce() {
     entry(1, 3, "a", "h:1 ready");
     fleet.onRecord(new StoreRecord(at(1, 9), "a", null));
     entry(2, 3, "a", "h:1 ready");
@@ -228,9 +228,9 @@
     assertThat(fleet.isEligible("a"), is(true));
   }
 
-  /** The first record after a listing stands at the listing's end. */
+  /** The position of the first record after a listing is the end of the listing. */
   @Test
-  void anEntryThatAListingLackedCountsAtOnceWhenItIsWritten() {
+  void entryMissingInAListingIsAppliedAtOnceWhenWritten() {
     entry(1, 3, "a", "h:1 ready");
     fleet.onListed(Set.of(), at(1, 9));
     fleet.reconcile(60 * SECOND_NANOS);
@@ -240,7 +240,7 @@
   }
 
   @Test
-  void changesAreNotToldOnOverEras() {
+  void recentChangesDoNotSpanEras() {
     entry(1, 3, "a", "h:1 ready");
     fleet.onListed(Set.of("a"), at(2, 4));
     entry(2, 4, "a", "h:1 leaving");
@@ -250,7 +250,7 @@
   }
 
   @Test
-  void theFirstEraIsNoChange() {
+  void firstEraIsNoChange() {
     int[] changes = {0};
     StoreEra era = new StoreEra(log);
     era.addListener(() -> changes[0]++);
