--- a/edge/src/test/java/org/shoreroad/edge/sync/AddressTableTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/AddressTableTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void theOrderOfTwoErasMayBeUnknown() {
+  void offsetsOfTwoErasMayHaveNoKnownOrder() {
     table.assign(entry("a", 1, 9));
     assertThat(table.otherAt(entry("a", 1, 12).box()), is(nullValue()));
     assertThat(table.otherAt(entry("b", 2, 4).box()), is("a"));
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void anEntryThatWaitsGetsTheAddressWhenItIsReleased() {
+  void waitingEntryIsReturnedWhenTheAddressIsReleased() {
     table.assign(entry("a", 1, 9));
     table.addWaiting(entry("b", 2, 4));
     assertThat(table.hasWaiting("h:1"), is(true));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void anUpstreamThatAListingLacksIsBeforeWhatFollows() {
+  void unlistedUpstreamIsOlderThanLaterEntries() {
     table.assign(entry("a", 1, 9));
     table.noteUnlisted("a", StorePosition.of(2, 5));
     assertThat(table.isAfter(entry("b", 2, 5), "a"), is(true));
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void theReleaseOfAFormerHolderChangesNothing() {
+  void releaseByFormerHolderHasNoEffect() {
     table.assign(entry("a", 1, 3));
     table.assign(entry("b", 1, 9));
     table.addWaiting(entry("c", 2, 4));
--- a/edge/src/test/java/org/shoreroad/edge/sync/BoundedMapTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/BoundedMapTest.java
@@ -9,7 +9,7 @@
 
 class BoundedMapTest {
   @Test
-  void theEntryThatWasAddedFirstIsDropped() {
+  void oldestEntryIsDroppedWhenFull() {
     Map<String, Integer> map = new BoundedMap<>(2);
     map.put("a", 1);
     map.put("b", 2);
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void aMapThatHoldsNothingIsRefused() {
+  void limitOfZeroIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> new BoundedMap<String, String>(0));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/EntryHistoryTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/EntryHistoryTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aLeavingStandsAgainstACopyOnlyForTheSameRun() {
+  void leavingOverridesACopyOnlyForTheSameIncarnation() {
     history.noteEntry(entry(true, 7, 1, 9));
     assertThat(history.withKnownLeaving(entry(false, 7, 2, 4)).box().isLeaving(), is(true));
     assertThat(history.withKnownLeaving(entry(false, 8, 2, 4)).box().isLeaving(), is(false));
@@ -28,9 +28,9 @@
     assertThat(history.withKnownLeaving(entry(false, 7, 1, 12)).box().isLeaving(), is(false));
   }
 
-  /** The copy is listed a second time before the upstream has written its leaving again. */
+  /** The copy is listed a second time before the upstream has written its leaving entry again. */
   @Test
-  void aSecondListingOfTheCopyDoesNotTakeALeavingBack() {
+  void secondListingOfTheCopyDoesNotRevokeLeaving() {
     history.noteEntry(entry(true, 7, 1, 9));
     history.noteEntry(history.withKnownLeaving(entry(false, 7, 2, 4)));
     history.noteListed(StorePosition.of(2, 5));
@@ -39,19 +39,20 @@
   }
 
   @Test
-  void whatIsReadAfterAListingWasWrittenLater() {
+  void entryBeyondAListingIsNewerThanKnownLeaving() {
     history.noteEntry(entry(true, 7, 1, 9));
     history.noteListed(StorePosition.of(2, 5));
     assertThat(history.withKnownLeaving(entry(false, 7, 2, 5)).box().isLeaving(), is(false));
   }
 
   @Test
-  void aRemovedEntryOfACopyIsHeldBackForATime() {
+  void removedEntryFromACopyIsHeldBackForALimitedTime() {
     history.noteRemoved(entry(false, 7, 1, 3).box(), StorePosition.of(1, 9));
     assertThat(history.holdBackIfRemoved(entry(false, 7, 1, 12), 0), is(false));
     assertThat(history.holdBackIfRemoved(entry(false, 7, 2, 4), 0), is(true));
     assertThat(history.takeReleased(EntryHistory.HOLD_NANOS - 1), empty());
     assertThat(history.takeReleased(EntryHistory.HOLD_NANOS), contains("a"));
-    assertThat(history.holdBackIfRemoved(entry(false, 7, 2, 4), EntryHistory.HOLD_NANOS), is(false));
+    assertThat(
+        history.holdBackIfRemoved(entry(false, 7, 2, 4), EntryHistory.HOLD_NANOS), is(false));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/sync/LastModelsTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/LastModelsTest.java
@@ -21,21 +21,21 @@
   }
 
   @Test
-  void aBoxThatNamesNoModelStillHoldsItsLastOne() {
+  void boxThatReportsNoModelKeepsItsLastOne() {
     models.note(box("m", MemberState.OPEN));
     models.note(box(null, null));
     assertThat(models.find("i-1"), is("m"));
   }
 
   @Test
-  void aBoxThatJoinsAndNamesNoModelHoldsNone() {
+  void joiningBoxThatReportsNoModelHasNone() {
     models.note(box("m", MemberState.OPEN));
     models.note(box(null, MemberState.JOINING));
     assertThat(models.find("i-1"), nullValue());
   }
 
   @Test
-  void aBoxThatIsOverIsForgotten() {
+  void endedBoxIsRemoved() {
     models.note(box("m", MemberState.OPEN));
     models.forget("i-1");
     assertThat(models.find("i-1"), nullValue());
--- a/edge/src/test/java/org/shoreroad/edge/sync/StorePositionTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/StorePositionTest.java
@@ -11,7 +11,7 @@
   }
 
   @Test
-  void offsetsOfOneEraHaveAnOrder() {
+  void offsetsOfOneEraAreOrdered() {
     assertThat(at(1, 5).hasReached(at(1, 5)), is(true));
     assertThat(at(1, 5).hasReached(at(1, 6)), is(false));
     assertThat(at(1, 5).isCertainlyAfter(at(1, 4)), is(true));
@@ -19,13 +19,13 @@
   }
 
   @Test
-  void aPositionOfAnotherEraIsNeverReached() {
+  void positionOfAnotherEraIsNeverReached() {
     assertThat(at(2, 9).hasReached(at(1, 5)), is(false));
     assertThat(at(1, 9).hasReached(at(2, 5)), is(false));
   }
 
   @Test
-  void overErasOnlyAHigherOffsetOfALaterEraIsCertainlyAfter() {
+  void onlyAHigherOffsetOfALaterEraIsCertainlyAfter() {
     assertThat(at(2, 6).isCertainlyAfter(at(1, 5)), is(true));
     assertThat(at(2, 5).isCertainlyAfter(at(1, 5)), is(false));
     assertThat(at(2, 4).isCertainlyAfter(at(1, 5)), is(false));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void anyRecordIsAfterNowhere() {
+  void anyRecordIsAfterNone() {
     assertThat(at(StoreEra.NONE, 0).isCertainlyAfter(StorePosition.NONE), is(true));
     assertThat(at(StoreEra.NONE, 0).hasReached(StorePosition.NONE), is(false));
   }
--- a/edge/src/test/java/org/shoreroad/edge/sync/UnlistedUpstreamsTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/UnlistedUpstreamsTest.java
@@ -12,7 +12,7 @@
   private final UnlistedUpstreams unlisted = new UnlistedUpstreams();
 
   @Test
-  void aMissingUpstreamIsOffTheListForGoodOnce() {
+  void missingUpstreamBecomesFinalOnce() {
     unlisted.add("i-1", 7);
     assertThat(unlisted.contains("i-1"), is(true));
     assertThat(unlisted.isFinal("i-1"), is(false));
@@ -22,14 +22,14 @@
   }
 
   @Test
-  void whatIsOnTheListIsNeverOffIt() {
+  void listedUpstreamHasNoAbsence() {
     assertThat(unlisted.makeFinal("i-1"), is(false));
     assertThat(unlisted.remove("i-1"), is(false));
     assertThat(unlisted.isOutdated("i-1", Long.MAX_VALUE), is(false));
   }
 
   @Test
-  void theFirstTimeCounts() {
+  void firstRemovalTimeIsKept() {
     unlisted.add("i-1", 7);
     unlisted.add("i-1", 9);
     assertThat(unlisted.isOutdated("i-1", 7 + TWO_MINUTES), is(false));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void anUpstreamThatIsListedAgainBeginsAnew() {
+  void relistedUpstreamStartsWithoutAnAbsence() {
     unlisted.addFinal("i-1", 7);
     assertThat(unlisted.remove("i-1"), is(true));
     unlisted.add("i-1", 9);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void anAbsenceCanBeTakenOver() {
+  void absenceCanBeCopied() {
     unlisted.addFinal("i-1", 7);
     unlisted.put("i-2", unlisted.find("i-1"));
     unlisted.put("i-3", unlisted.find("i-9"));
