--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -110,7 +110,7 @@
   public void onRecord(StoreRecord record) {
     byte[] value = record.value();
     if (value == null) {
-      remove(record);
+      removeEntry(record);
       return;
     }
     entryReader
@@ -121,7 +121,7 @@
         .ifPresent(entry -> applyEntry(entry, record));
   }
 
-  private void remove(StoreRecord record) {
+  private void removeEntry(StoreRecord record) {
     ListedEntry removed = entries.remove(record.key());
     recentChanges.add(record);
     if (removed != null) {
@@ -351,7 +351,7 @@
   }
 
   /**
-   * Reconciles the upstreams with the list: takes off those whose entries have not come back, and
+   * Reconciles the upstreams with the list: marks those as off the list whose entries have not come back, and
    * applies entries that were overridden or held back.
    *
    * @param storeReachableNanos how long the store has answered without a fault, in nanoseconds
@@ -377,7 +377,7 @@
       noteListChange();
       log.write("upstream_off_list", "upstream", box.id(), "address", box.address());
     }
-    if (mayForget(box) || unlisted.isOutdated(box.id(), nowNanos)) {
+    if (mayRemove(box) || unlisted.isOutdated(box.id(), nowNanos)) {
       forget(box.id());
     }
   }
@@ -385,7 +385,7 @@
   /**
    * Returns true if the upstream is in no fabric domain, or another entry waits for its address.
    */
-  private boolean mayForget(FleetBox box) {
+  private boolean mayRemove(FleetBox box) {
     return box.domain() == null || addresses.hasWaiting(box.address());
   }
 
