--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -279,7 +279,7 @@
     }
     for (ObservedBox observed : observedBoxes) {
       if (observed.isDead() && !observed.isListed()) {
-        fleet.forget(observed.box().id());
+        fleet.remove(observed.box().id());
       }
     }
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -86,7 +86,7 @@
     for (FleetBox box : List.copyOf(boxes.values())) {
       if (!entryReader.isDeclared(box)) {
         entries.remove(box.id());
-        forget(box.id());
+        remove(box.id());
       }
     }
   }
@@ -156,7 +156,7 @@
         next.bornMs(),
         "formerBornMs",
         former.bornMs());
-    forget(former.id());
+    remove(former.id());
   }
 
   /** Applies an entry, unless another upstream holds its address. */
@@ -218,7 +218,7 @@
     addresses.assign(entry);
     if (other != null) {
       log.write("upstream_superseded", "upstream", other, "by", entry.box().id());
-      forget(other);
+      remove(other);
     }
     return true;
   }
@@ -378,7 +378,7 @@
       log.write("upstream_off_list", "upstream", box.id(), "address", box.address());
     }
     if (mayRemove(box) || unlisted.isOutdated(box.id(), nowNanos)) {
-      forget(box.id());
+      remove(box.id());
     }
   }
 
@@ -408,7 +408,7 @@
   }
 
   /** Removes an upstream that has ended for certain, and notifies the removal listeners. */
-  public void forget(String id) {
+  public void remove(String id) {
     FleetBox removed = boxes.remove(id);
     unlisted.remove(id);
     reports.forget(id);
--- a/edge/src/test/java/org/shoreroad/edge/sync/FollowerAndFleetTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/FollowerAndFleetTest.java
@@ -272,7 +272,7 @@
     assertThat(fleet.boxesOf(key), contains(joining));
     assertThat(fleet.domains(), is(Set.of(key)));
     long before = fleet.listChanges();
-    fleet.forget("i-1");
+    fleet.remove("i-1");
     assertThat(fleet.boxesOf(key).isEmpty(), is(true));
     assertThat(fleet.domains().isEmpty(), is(true));
     assertThat(fleet.listChanges(), is(before + 1));
@@ -316,7 +316,7 @@
     fleet.reconcile(60 * SECOND_NANOS);
     assertThat(fleet.isEligible("i-1"), is(false));
     assertThat(fleet.find("i-1") != null, is(true));
-    fleet.forget("i-1");
+    fleet.remove("i-1");
     assertThat(fleet.find("i-1") == null, is(true));
   }
 
