--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -411,8 +411,8 @@
   public void remove(String id) {
     FleetBox removed = boxes.remove(id);
     unlisted.remove(id);
-    reports.forget(id);
-    lastModels.forget(id);
+    reports.remove(id);
+    lastModels.remove(id);
     if (removed != null) {
       domainIndex.remove(removed);
       noteListChange();
--- a/edge/src/main/java/org/shoreroad/edge/sync/LastModels.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/LastModels.java
@@ -32,7 +32,7 @@
   }
 
   /** Removes a box that has ended. */
-  void forget(String id) {
+  void remove(String id) {
     models.remove(id);
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/StatusReports.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/StatusReports.java
@@ -86,7 +86,7 @@
   }
 
   /** Removes all reports of an upstream. */
-  void forget(String id) {
+  void remove(String id) {
     reportedAtNanos.remove(id);
     reportedEpochs.remove(id);
     overriddenIds.remove(id);
--- a/edge/src/test/java/org/shoreroad/edge/sync/LastModelsTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/LastModelsTest.java
@@ -37,7 +37,7 @@
   @Test
   void endedBoxIsRemoved() {
     models.note(box("m", MemberState.OPEN));
-    models.forget("i-1");
+    models.remove("i-1");
     assertThat(models.find("i-1"), nullValue());
   }
 }
