--- a/edge/src/main/java/org/shoreroad/edge/sync/EntryHistory.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/EntryHistory.java
@@ -18,8 +18,8 @@
  * <p>A store restored from a copy lists upstreams as they were seconds before. An upstream that has
  * announced that it leaves does not return to service in the same incarnation, so it stays leaving
  * until its entry is written again. A removed entry may belong to a running upstream, since entries
- * also lapse for other reasons; it is held back for a limited time only. Not thread-safe: used on
- * the event loop.
+ * also lapse without an action of the upstream; it is held back for a limited time only. Not
+ * thread-safe: used on the event loop.
  */
 final class EntryHistory {
   /**
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Records that all entries up to a position were read. An entry beyond that position was written
-   * later than anything known from former eras.
+   * Records that all entries before a position were read. An entry from that position on was
+   * written later than anything known from former eras.
    */
   void noteListed(StorePosition end) {
     leavingEntries.replaceAll((id, known) -> rebased(known, end));
--- a/edge/src/main/java/org/shoreroad/edge/sync/EntryReader.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/EntryReader.java
@@ -31,7 +31,7 @@
     this.log = log;
   }
 
-  /** Sets which services are declared; returns true for all while no configuration is known. */
+  /** Sets the check for declared services, true for all while no configuration is known. */
   void setServiceCheck(Predicate<String> check) {
     isDeclaredService = check;
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/Fleet.java
@@ -21,9 +21,9 @@
  *
  * <p>A removed entry may come back: entries lapse while the store is unreachable, and a running
  * upstream writes its entry again within two seconds of the store's return. An upstream that is off
- * the list receives no more requests. A box of a replica is kept until its death is certain, since
- * it may run on without the store. If another upstream is listed later at the same address, the
- * former one has ended. Not thread-safe: used on the event loop.
+ * the list receives no more requests. A box of a replica is kept until it has ended for certain,
+ * since it may run on without the store. If another upstream is listed later at the same address,
+ * the former one has ended. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
@@ -81,7 +81,7 @@
     formerIncarnations.setListener(listener);
   }
 
-  /** Removes the upstreams of services that are not declared. */
+  /** Removes the upstreams of undeclared services. Called once the declared ones are known. */
   public void dropUndeclared() {
     for (FleetBox box : List.copyOf(boxes.values())) {
       if (!entryReader.isDeclared(box)) {
@@ -118,7 +118,7 @@
         .map(entry -> new ListedEntry(entry, record.position()))
         .filter(entry -> !formerIncarnations.dropsEntry(entry))
         .map(history::withKnownLeaving)
-        .ifPresent(entry -> applyEntry(entry, record));
+        .ifPresent(entry -> receiveEntry(entry, record));
   }
 
   private void removeEntry(StoreRecord record) {
@@ -133,7 +133,7 @@
     }
   }
 
-  private void applyEntry(ListedEntry entry, StoreRecord record) {
+  private void receiveEntry(ListedEntry entry, StoreRecord record) {
     reports.noteEra(record.position().era());
     // Most records are heartbeats of upstreams in which nothing has changed.
     ListedEntry before = entries.put(entry.box().id(), entry);
@@ -351,8 +351,8 @@
   }
 
   /**
-   * Reconciles the upstreams with the list: marks those as off the list whose entries have not come back, and
-   * applies entries that were overridden or held back.
+   * Reconciles the upstreams with the list: marks those as off the list whose entries have not come
+   * back, and applies entries that were overridden or held back.
    *
    * @param storeReachableNanos how long the store has answered without a fault, in nanoseconds
    */
@@ -430,7 +430,10 @@
     return recentChanges;
   }
 
-  /** Returns true if the upstream has an entry, or lost it so recently that it may come back. */
+  /**
+   * Returns true if the list permits requests to the upstream: it has an entry, or lost it so
+   * recently that the entry may come back.
+   */
   public boolean isEligible(String id) {
     return boxes.containsKey(id) && !unlisted.isFinal(id);
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/FormerIncarnations.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/FormerIncarnations.java
@@ -6,13 +6,13 @@
 import org.shoreroad.fleet.Incarnation;
 
 /**
- * The incarnations of upstreams that have ended because a later one isRunning under the same id.
+ * The incarnations of upstreams that have ended because a later one runs under the same id.
  *
  * <p>Start times come from the upstreams' own clocks, which may be set back. They distinguish two
  * incarnations but don't show which one is later. The later one is that of the later entry, or the
  * one that answered this process directly; from then on entries and reports of the other one are
  * dropped. An entry that was written after the one that ended its incarnation shows that the
- * incarnation isRunning. Not thread-safe: used on the event loop.
+ * incarnation is running. Not thread-safe: used on the event loop.
  */
 final class FormerIncarnations {
   /** Late reports arrive within seconds, in which there are fewer restarts than this. */
--- a/edge/src/main/java/org/shoreroad/edge/sync/LastModels.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/LastModels.java
@@ -9,7 +9,7 @@
 
 /**
  * The model that each box last held in its incarnation. An engine reports its model only while it
- * is a member of a replica, but the model that it last held is loaded again without delay. Not
+ * is a member of a replica, but it can take up the model that it last held again at once. Not
  * thread-safe: used on the event loop.
  */
 final class LastModels {
