--- a/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
+++ b/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
@@ -181,7 +181,7 @@
     }
     TopicFollower from = follower;
     if (from != null && heartbeat.echoNanos() != 0) {
-      from.proveByPeer(heartbeat.configNext(), heartbeat.echoNanos() - heartbeat.configAgeNanos());
+      from.acceptPeerProof(heartbeat.configNext(), heartbeat.echoNanos() - heartbeat.configAgeNanos());
     }
   }
 
@@ -203,7 +203,7 @@
   }
 
   StorePosition next() {
-    return follower == null ? StorePosition.NOWHERE : follower.next();
+    return follower == null ? StorePosition.NONE : follower.next();
   }
 
   long configAgeNanos() {
--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -259,12 +259,12 @@
     // Without hubs each process reads the configuration itself. A change must be in force within
     // two seconds; with three readers for all, which the store may turn away, one came later in
     // four of thirteen runs with 7 and 9 processes.
-    configFollower.spareWhile(mesh::isMember, TOLD_CONFIG_PROOF_MS);
-    configFollower.spreadListings(() -> random.nextInt(LISTING_SPREAD_MS));
-    listFollower.spreadListings(() -> random.nextInt(LISTING_SPREAD_MS));
-    processFollower.spreadListings(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
+    configFollower.readThroughPeersWhile(mesh::isMember, TOLD_CONFIG_PROOF_MS);
+    configFollower.setListingDelay(() -> random.nextInt(LISTING_SPREAD_MS));
+    listFollower.setListingDelay(() -> random.nextInt(LISTING_SPREAD_MS));
+    processFollower.setListingDelay(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
     ports.storeEra().addListener(this::noteEra);
-    listFollower.spareWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
+    listFollower.readThroughPeersWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
     leases.setChangeListener(mesh::hurry);
     replicas.setUrgentChangeListener(mesh::hurry);
     stalls.setSuspicionListener(
@@ -279,7 +279,7 @@
     fleet.setServiceCheck(configuration::isDeclared);
     fleet.setFaultListener(
         fault -> metrics.count("shoreroad.upstreams.unusable_entries", fault.code()));
-    fleet.setFormerListener(what -> metrics.count("shoreroad.upstreams.former_incarnation", what));
+    fleet.setFormerIncarnationListener(what -> metrics.count("shoreroad.upstreams.former_incarnation", what));
     fleet.addRemovalListener(
         box -> {
           calls.forget(box.address());
@@ -330,7 +330,7 @@
     // Members need the list to find a hub. Reading it on, 89 processes make about 800 of 3,100
     // calls to the store on a calm day of 72 s (by the intervals), and read each restart of
     // another.
-    processFollower.restWhile(mesh::isSettledMember, PROCESS_REST_MS);
+    processFollower.suspendReadsWhile(mesh::isSettledMember, PROCESS_REST_MS);
     processFollower.start();
     processes.announce(announcement);
     leases.start();
@@ -404,7 +404,7 @@
         stalls.ownSuspectedIds(),
         failureDetector.questions(),
         replicas.silentForPeers(),
-        leases.kept(),
+        leases.grantedDomains(),
         reports,
         ListUpdate.readTo(listFollower.next()),
         quarantine.reports(),
@@ -427,8 +427,8 @@
     failureDetector.learn(heartbeat);
     ListUpdate told = heartbeat.listUpdate();
     listFollower.noteEra(told.end().era());
-    if (told.isProof() && !mesh.isReader()) {
-      listFollower.takeOver(told, heartbeat.echoNanos() - told.ageNanos());
+    if (told.hasProof() && !mesh.isReader()) {
+      listFollower.applyPeerUpdate(told, heartbeat.echoNanos() - told.ageNanos());
     }
     heartbeat.reports().forEach(fleet::updateByPeer);
     quarantine.applyReports(heartbeat.crashReports());
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -205,7 +205,7 @@
   }
 
   @Override
-  public @Nullable Set<String> keptDomains() {
+  public @Nullable Set<String> ownedDomains() {
     List<Heard> speakers = speakers(Peer.ALIVE_NANOS);
     if (speakers.isEmpty() && !peers.all().isEmpty()) {
       return null;
@@ -453,7 +453,7 @@
       return own.listUpdate();
     }
     ListUpdate update = peer.listUpdate(source::listSince, clockNanos.getAsLong());
-    return update.isProof() ? update : own.listUpdate();
+    return update.hasProof() ? update : own.listUpdate();
   }
 
   private void receive(Heartbeat heartbeat) {
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -112,7 +112,7 @@
   /** No other process is known. */
   private static final class Alone implements DomainLeases.Peers {
     @Override
-    public Set<String> keptDomains() {
+    public Set<String> ownedDomains() {
       return Set.of();
     }
 
@@ -290,7 +290,7 @@
 
   private void takeOffTheList(String id) {
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 100), id, null));
-    fleet.settle(TimeUnit.MINUTES.toNanos(1));
+    fleet.reconcile(TimeUnit.MINUTES.toNanos(1));
   }
 
   @Test
@@ -360,7 +360,7 @@
     startWithMember("a", replica);
     run(2_000);
     assertThat(engines.asked, hasItem("h"));
-    assertThat(fleet.isOnList("h"), is(false));
+    assertThat(fleet.isEligible("h"), is(false));
     // It answers, so its work is ended by order before its member serves elsewhere.
     List<String> given =
         engines.orders.stream()
--- a/edge/src/test/java/org/shoreroad/edge/sync/AddressTableTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/sync/AddressTableTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void theOrderOfTwoErasMayBeUnknown() {
+  void offsetsOfTwoErasMayHaveNoKnownOrder() {
     table.assign(entry("a", 1, 9));
     assertThat(table.otherAt(entry("a", 1, 12).box()), is(nullValue()));
     assertThat(table.otherAt(entry("b", 2, 4).box()), is("a"));
@@ -29,17 +29,17 @@
   }
 
   @Test
-  void anEntryThatWaitsGetsTheAddressWhenItIsReleased() {
+  void waitingEntryIsReturnedWhenTheAddressIsReleased() {
     table.assign(entry("a", 1, 9));
-    table.await(entry("b", 2, 4));
-    assertThat(table.isAwaited("h:1"), is(true));
+    table.addWaiting(entry("b", 2, 4));
+    assertThat(table.hasWaiting("h:1"), is(true));
     assertThat(table.release(entry("a", 1, 9).box()), is(Optional.of(entry("b", 2, 4))));
     assertThat(table.find("h:1"), is(nullValue()));
-    assertThat(table.isAwaited("h:1"), is(false));
+    assertThat(table.hasWaiting("h:1"), is(false));
   }
 
   @Test
-  void anUpstreamThatAListingLacksIsBeforeWhatFollows() {
+  void unlistedUpstreamIsOlderThanLaterEntries() {
     table.assign(entry("a", 1, 9));
     table.noteUnlisted("a", StorePosition.of(2, 5));
     assertThat(table.isAfter(entry("b", 2, 5), "a"), is(true));
@@ -47,10 +47,10 @@
   }
 
   @Test
-  void theReleaseOfAFormerHolderChangesNothing() {
+  void releaseByFormerHolderHasNoEffect() {
     table.assign(entry("a", 1, 3));
     table.assign(entry("b", 1, 9));
-    table.await(entry("c", 2, 4));
+    table.addWaiting(entry("c", 2, 4));
     assertThat(table.release(entry("a", 1, 3).box()), is(Optional.empty()));
     assertThat(table.find("h:1"), is("b"));
   }
