--- a/core/src/main/java/org/shoreroad/member/DomainClaims.java
+++ b/core/src/main/java/org/shoreroad/member/DomainClaims.java
@@ -123,7 +123,8 @@
   }
 
   private long waitNanos(String domain, int ownCount) {
-    int rank = ranks.computeIfAbsent(domain, key -> Rendezvous.positionOf(self, key, rankedProcesses));
+    int rank =
+        ranks.computeIfAbsent(domain, key -> Rendezvous.positionOf(self, key, rankedProcesses));
     return UNKEPT_NANOS
         + Math.min(MAX_RANK_NANOS, rank * RANK_NANOS)
         + Math.min(MAX_KEPT_NANOS, ownCount * KEPT_NANOS);
--- a/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
+++ b/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
@@ -181,7 +181,8 @@
     }
     TopicFollower from = follower;
     if (from != null && heartbeat.echoNanos() != 0) {
-      from.acceptPeerProof(heartbeat.configNext(), heartbeat.echoNanos() - heartbeat.configAgeNanos());
+      from.acceptPeerProof(
+          heartbeat.configNext(), heartbeat.echoNanos() - heartbeat.configAgeNanos());
     }
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -279,7 +279,8 @@
     fleet.setServiceCheck(configuration::isDeclared);
     fleet.setFaultListener(
         fault -> metrics.count("shoreroad.upstreams.unusable_entries", fault.code()));
-    fleet.setFormerIncarnationListener(what -> metrics.count("shoreroad.upstreams.former_incarnation", what));
+    fleet.setFormerIncarnationListener(
+        what -> metrics.count("shoreroad.upstreams.former_incarnation", what));
     fleet.addRemovalListener(
         box -> {
           calls.forget(box.address());
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -285,7 +285,8 @@
   }
 
   private DomainKeeper takeDomain(String key, String domain, List<FleetBox> boxes) {
-    log.write("domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fencingNumber(key));
+    log.write(
+        "domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fencingNumber(key));
     return new DomainKeeper(domain, KeeperTiming.DEFAULT, () -> leases.nextEpoch(key));
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/peer/HeartbeatCodecTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/HeartbeatCodecTest.java
@@ -179,7 +179,8 @@
     for (Heartbeat earlier : List.of(withoutStarts, withoutEras)) {
       assertThat(earlier.configNext(), is(StorePosition.of(StorePosition.UNKNOWN_ERA, 9)));
       assertThat(earlier.configVersion(), is(Heartbeat.NO_CONFIG));
-      assertThat(earlier.listUpdate(), is(heartbeat.listUpdate().withEra(StorePosition.UNKNOWN_ERA)));
+      assertThat(
+          earlier.listUpdate(), is(heartbeat.listUpdate().withEra(StorePosition.UNKNOWN_ERA)));
       assertThat(earlier.loads(), is(heartbeat.loads()));
     }
   }
