--- a/core/src/main/java/org/shoreroad/fleet/DomainKeeper.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -22,7 +22,7 @@
  *
  * @since 0.2
  */
-public final class DomainKeeper {
+public final class DomainReconciler {
   /** Join time of a box whose last model was the same, in seconds (users' pages). */
   private static final double KNOWN_JOIN_SECONDS = 0.2;
 
@@ -52,7 +52,7 @@
    * @param timing its times, not null
    * @param epochs gives a number higher than any given before, by whatever process, not null
    */
-  public DomainKeeper(String domain, KeeperTiming timing, LongSupplier epochs) {
+  public DomainReconciler(String domain, KeeperTiming timing, LongSupplier epochs) {
     this.domain = domain;
     this.timing = timing;
     this.epochs = epochs;
--- a/core/src/test/java/org/shoreroad/fleet/DomainKeeperTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class DomainKeeperTest {
+class DomainReconcilerTest {
   private static final int BOXES = 8;
 
   /** Every host is prepared by then, one load after the other. */
@@ -28,10 +28,10 @@
   private final List<BoxOrder> given = new ArrayList<>();
   private Demand demand = Demand.NONE;
   private long epoch;
-  private DomainKeeper keeper = newKeeper();
+  private DomainReconciler keeper = newKeeper();
 
-  private DomainKeeper newKeeper() {
-    return new DomainKeeper("d", KeeperTiming.DEFAULT, () -> ++epoch);
+  private DomainReconciler newKeeper() {
+    return new DomainReconciler("d", KeeperTiming.DEFAULT, () -> ++epoch);
   }
 
   private void addBoxes(int count) {
@@ -250,7 +250,7 @@
   @Test
   void oneReplicaIsClosedForOneThatLacksBoxes() {
     for (int seed = 0; seed < 20; seed++) {
-      DomainKeeperTest play = new DomainKeeperTest();
+      DomainReconcilerTest play = new DomainReconcilerTest();
       play.domain.setReportLagNanos(200_000_000L);
       play.addBoxes(BOXES);
       play.run(SETTLE_SECONDS + seed);
@@ -378,7 +378,7 @@
   }
 
   private void playFaults(int seed) {
-    DomainKeeperTest play = new DomainKeeperTest();
+    DomainReconcilerTest play = new DomainReconcilerTest();
     Random faults = new Random(seed);
     play.addBoxes(BOXES);
     play.run(60);
--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.shoreroad.edge.peer.FailureDetector;
 import org.shoreroad.edge.sync.Fleet;
-import org.shoreroad.fleet.DomainKeeper;
+import org.shoreroad.fleet.DomainReconciler;
 import org.shoreroad.fleet.FleetBox;
 import org.shoreroad.fleet.MemberState;
 import org.shoreroad.fleet.Membership;
@@ -96,7 +96,7 @@
    * @param suspected the heads that stand still
    */
   List<ObservedBox> look(
-      String key, DomainKeeper keeper, List<FleetBox> boxes, Set<String> suspected) {
+      String key, DomainReconciler keeper, List<FleetBox> boxes, Set<String> suspected) {
     long nowNanos = clockNanos.getAsLong();
     boxes.forEach(this::findUnlistedHead);
     Set<String> doubtful = findDoubtful(boxes, suspected);
@@ -209,7 +209,7 @@
 
   /** Asks the boxes of a domain, each as often as what happens there needs. */
   private void askBoxes(
-      String key, DomainKeeper keeper, List<FleetBox> boxes, Set<String> doubtful, long nowNanos) {
+      String key, DomainReconciler keeper, List<FleetBox> boxes, Set<String> doubtful, long nowNanos) {
     if (keeper.isBusy()) {
       busyDomains.add(key);
     } else {
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -19,7 +19,7 @@
 import org.shoreroad.edge.sync.Fleet;
 import org.shoreroad.fleet.BoxOrder;
 import org.shoreroad.fleet.Demand;
-import org.shoreroad.fleet.DomainKeeper;
+import org.shoreroad.fleet.DomainReconciler;
 import org.shoreroad.fleet.EngineSpec;
 import org.shoreroad.fleet.FleetBox;
 import org.shoreroad.fleet.KeeperTiming;
@@ -68,7 +68,7 @@
   private final Function<UpstreamService, Demand> demands;
   private final FailureDetector failureDetector;
   private final DomainWatch watch;
-  private final Map<String, DomainKeeper> keepers = new HashMap<>();
+  private final Map<String, DomainReconciler> keepers = new HashMap<>();
   private final Map<String, Long> suspectedSinceNanos = new HashMap<>();
   private final Map<String, ServiceDomains> domainsByService = new HashMap<>();
   private long forgottenNanos;
@@ -267,7 +267,7 @@
       Set<String> suspected,
       Demand demand) {
     long nowNanos = clockNanos.getAsLong();
-    DomainKeeper keeper = keepers.computeIfAbsent(key, name -> takeDomain(key, domain, boxes));
+    DomainReconciler keeper = keepers.computeIfAbsent(key, name -> takeDomain(key, domain, boxes));
     List<ObservedBox> observedBoxes = watch.look(key, keeper, boxes, suspected);
     boolean neededReports = keeper.needsReports();
     keeper
@@ -284,12 +284,12 @@
     }
   }
 
-  private DomainKeeper takeDomain(String key, String domain, List<FleetBox> boxes) {
+  private DomainReconciler takeDomain(String key, String domain, List<FleetBox> boxes) {
     log.write("domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fence(key));
-    return new DomainKeeper(domain, KeeperTiming.DEFAULT, () -> leases.nextEpoch(key));
+    return new DomainReconciler(domain, KeeperTiming.DEFAULT, () -> leases.nextEpoch(key));
   }
 
-  private void give(String key, DomainKeeper keeper, EngineSpec engine, BoxOrder order) {
+  private void give(String key, DomainReconciler keeper, EngineSpec engine, BoxOrder order) {
     FleetBox box = fleet.find(order.boxId());
     if (box == null) {
       return;
