--- a/core/src/main/java/org/shoreroad/fleet/Closings.java
+++ b/core/src/main/java/org/shoreroad/fleet/Closings.java
@@ -14,7 +14,7 @@
 
   private static final String MEMBER_IS_LOST = "a member is lost";
 
-  private final KeeperTiming timing;
+  private final ReconcilerTiming timing;
   private final Map<ReplicaId, Closing> closings = new HashMap<>();
 
   /**
@@ -22,7 +22,7 @@
    *
    * @param timing how long running requests may keep a closing replica, not null
    */
-  Closings(KeeperTiming timing) {
+  Closings(ReconcilerTiming timing) {
     this.timing = timing;
   }
 
@@ -102,7 +102,7 @@
    * @param isUrgent true if the replica's work is waited for only a short time
    */
   private record Closing(long sinceNanos, boolean isUrgent) {
-    long limitNanos(KeeperTiming timing) {
+    long limitNanos(ReconcilerTiming timing) {
       return isUrgent ? timing.urgentDrainLimitNanos() : timing.drainLimitNanos();
     }
   }
--- a/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -30,7 +30,7 @@
   private static final double EARLY_LOAD_PART = 0.1;
 
   private final String domain;
-  private final KeeperTiming timing;
+  private final ReconcilerTiming timing;
   private final LongSupplier epochs;
   private final Map<ReplicaId, Formation> formations = new LinkedHashMap<>();
   private final Closings closings;
@@ -52,7 +52,7 @@
    * @param timing its times, not null
    * @param epochs gives a number higher than any given before, by whatever process, not null
    */
-  public DomainReconciler(String domain, KeeperTiming timing, LongSupplier epochs) {
+  public DomainReconciler(String domain, ReconcilerTiming timing, LongSupplier epochs) {
     this.domain = domain;
     this.timing = timing;
     this.epochs = epochs;
--- a/core/src/main/java/org/shoreroad/fleet/KeeperTiming.java
+++ b/core/src/main/java/org/shoreroad/fleet/ReconcilerTiming.java
@@ -16,7 +16,7 @@
  * @param warmingNanos how long a spare box may take weights from its host
  * @since 0.2
  */
-public record KeeperTiming(
+public record ReconcilerTiming(
     long orderRepeatNanos,
     long joinSlackNanos,
     long drainLimitNanos,
@@ -30,8 +30,8 @@
    * after five seconds, and three more for the store's list to come; weights come from a host
    * within two seconds, and twice that is lost.
    */
-  public static final KeeperTiming DEFAULT =
-      new KeeperTiming(
+  public static final ReconcilerTiming DEFAULT =
+      new ReconcilerTiming(
           TimeUnit.MILLISECONDS.toNanos(500),
           TimeUnit.SECONDS.toNanos(4),
           TimeUnit.SECONDS.toNanos(8),
--- a/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
@@ -31,7 +31,7 @@
   private DomainReconciler keeper = newKeeper();
 
   private DomainReconciler newKeeper() {
-    return new DomainReconciler("d", KeeperTiming.DEFAULT, () -> ++epoch);
+    return new DomainReconciler("d", ReconcilerTiming.DEFAULT, () -> ++epoch);
   }
 
   private void addBoxes(int count) {
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -22,7 +22,7 @@
 import org.shoreroad.fleet.DomainReconciler;
 import org.shoreroad.fleet.EngineSpec;
 import org.shoreroad.fleet.FleetBox;
-import org.shoreroad.fleet.KeeperTiming;
+import org.shoreroad.fleet.ReconcilerTiming;
 import org.shoreroad.fleet.ObservedBox;
 import org.shoreroad.fleet.ObservedBox.Reach;
 import org.shoreroad.fleet.ReplicaPlan;
@@ -286,7 +286,7 @@
 
   private DomainReconciler takeDomain(String key, String domain, List<FleetBox> boxes) {
     log.write("domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fence(key));
-    return new DomainReconciler(domain, KeeperTiming.DEFAULT, () -> leases.nextEpoch(key));
+    return new DomainReconciler(domain, ReconcilerTiming.DEFAULT, () -> leases.nextEpoch(key));
   }
 
   private void give(String key, DomainReconciler keeper, EngineSpec engine, BoxOrder order) {
