--- a/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -155,7 +155,7 @@
   }
 
   /** Notes that an engine said that it carries an order out. */
-  public void noteTaken(BoxOrder order, long nowNanos) {
+  public void recordAccepted(BoxOrder order, long nowNanos) {
     orderBook.noteTaken(order, nowNanos);
   }
 
--- a/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
@@ -59,7 +59,7 @@
           keeper.decide(domain.nowNanos(), spec, observedBoxes, plan, headsSeen, demandNow())) {
         given.add(order);
         if (domain.give(order)) {
-          keeper.noteTaken(order, domain.nowNanos());
+          keeper.recordAccepted(order, domain.nowNanos());
         }
       }
     }
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -306,7 +306,7 @@
             return;
           }
           if (outcome == Engines.OrderOutcome.TAKEN) {
-            keeper.noteTaken(order, clockNanos.getAsLong());
+            keeper.recordAccepted(order, clockNanos.getAsLong());
             contact.noteTaken(order, engine.reportLagMs());
           } else if (outcome == Engines.OrderOutcome.NOT_FITTING) {
             keeper.noteUnfit(order, clockNanos.getAsLong());
