--- a/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -163,7 +163,7 @@
    * Notes that an order does not fit an engine's state. A head that can't be opened though it seems
    * ready is let go, so that its boxes serve in another formation.
    */
-  public void noteUnfit(BoxOrder order, long nowNanos) {
+  public void recordRejected(BoxOrder order, long nowNanos) {
     if (order.verb() == Verb.OPEN && order.replica() != null) {
       closings.begin(order.replica(), true, nowNanos);
     }
--- a/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
@@ -311,7 +311,7 @@
     ReplicaId replica = domain.openReplicaOf(headOf("large"));
     BoxOrder opening = BoxOrder.of(headOf("large"), BoxOrder.Verb.OPEN, replica, "test");
     domain.closeAtOnce(headOf("large"));
-    keeper.noteUnfit(opening, domain.nowNanos());
+    keeper.recordRejected(opening, domain.nowNanos());
     run(5);
     assertThat(domain.countOpen("large"), is(1L));
     assertThat(domain.openReplicaOf(headOf("large")).equals(replica), is(false));
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -309,7 +309,7 @@
             keeper.recordAccepted(order, clockNanos.getAsLong());
             contact.noteTaken(order, engine.reportLagMs());
           } else if (outcome == Engines.OrderOutcome.NOT_FITTING) {
-            keeper.noteUnfit(order, clockNanos.getAsLong());
+            keeper.recordRejected(order, clockNanos.getAsLong());
           }
           logOrder(order, fence, outcome);
         });
