--- a/core/src/main/java/org/shoreroad/fleet/Closings.java
+++ b/core/src/main/java/org/shoreroad/fleet/Closings.java
@@ -76,7 +76,7 @@
     Closing closing = closings.get(replica.replica());
     String headId = head.box().id();
     // A head that gives events has all its members, although one of them does not answer here.
-    if (!isWhole && head.isStandingStill()) {
+    if (!isWhole && head.isStalled()) {
       return BoxOrder.of(headId, Verb.CLOSE_NOW, replica.replica(), MEMBER_IS_LOST);
     }
     if (nowNanos - closing.sinceNanos() > closing.limitNanos(timing)) {
--- a/core/src/main/java/org/shoreroad/fleet/ObservedBox.java
+++ b/core/src/main/java/org/shoreroad/fleet/ObservedBox.java
@@ -14,7 +14,7 @@
  * @param reach whether it answers, not null
  * @param isSteady true if it has not been silent for as long as an engine takes to break a replica
  * @param isConfirmed true if its engine itself said a moment ago where it stands; the list may lag
- * @param isStandingStill true if it heads a replica whose requests get nothing
+ * @param isStalled true if it heads a replica whose requests get nothing
  * @param lastModel the model of its last replica in this incarnation, which it joins again almost
  *     at once, or null; an engine that left its replica no longer names it
  * @since 0.2
@@ -25,7 +25,7 @@
     Reach reach,
     boolean isSteady,
     boolean isConfirmed,
-    boolean isStandingStill,
+    boolean isStalled,
     @Nullable String lastModel) {
   /** Checks that the parts are there. */
   public ObservedBox {
