--- a/core/src/main/java/org/shoreroad/fleet/Closings.java
+++ b/core/src/main/java/org/shoreroad/fleet/ClosingReplicas.java
@@ -8,7 +8,7 @@
 import org.shoreroad.fleet.BoxOrder.Verb;
 
 /** The replicas of a domain whose boxes are to serve elsewhere; for one thread. */
-final class Closings {
+final class ClosingReplicas {
   /** Why a whole replica is closed. */
   private static final String MAKES_ROOM = "a wanted replica lacks boxes";
 
@@ -22,7 +22,7 @@
    *
    * @param timing how long running requests may keep a closing replica, not null
    */
-  Closings(ReconcilerTiming timing) {
+  ClosingReplicas(ReconcilerTiming timing) {
     this.timing = timing;
   }
 
--- a/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -33,12 +33,12 @@
   private final ReconcilerTiming timing;
   private final LongSupplier epochs;
   private final Map<ReplicaId, Formation> formations = new LinkedHashMap<>();
-  private final Closings closings;
+  private final ClosingReplicas closings;
   private final Map<ReplicaId, Long> headlessSinceNanos = new HashMap<>();
   private final HostPreparation hosts = new HostPreparation();
   private final SpareWarmup warmings;
   private final ReplicaConversion conversion;
-  private final OrderBook orderBook;
+  private final RecentOrders orderBook;
   private List<BoxOrder> orders = new ArrayList<>();
   private DomainView view = new DomainView(List.of());
   private Demand demand = Demand.NONE;
@@ -56,10 +56,10 @@
     this.domain = domain;
     this.timing = timing;
     this.epochs = epochs;
-    this.closings = new Closings(timing);
+    this.closings = new ClosingReplicas(timing);
     this.warmings = new SpareWarmup(domain, epochs);
     this.conversion = new ReplicaConversion(domain);
-    this.orderBook = new OrderBook(timing.orderRepeatNanos());
+    this.orderBook = new RecentOrders(timing.orderRepeatNanos());
   }
 
   /** Returns the heads whose closing is waited for. */
@@ -156,7 +156,7 @@
 
   /** Notes that an engine said that it carries an order out. */
   public void recordAccepted(BoxOrder order, long nowNanos) {
-    orderBook.noteTaken(order, nowNanos);
+    orderBook.recordAccepted(order, nowNanos);
   }
 
   /**
@@ -171,10 +171,10 @@
 
   /** Lets spare boxes take the weights from their hosts that they would most likely need. */
   private void warmSpares(List<ModelShape> models, long nowNanos) {
-    if (formations.isEmpty() && !view.isMending()) {
+    if (formations.isEmpty() && !view.isDissolving()) {
       List<ModelShape> byBoxes = new ArrayList<>(models);
       byBoxes.sort(
-          Comparator.comparingInt(model -> -view.standingCount(model.name()) * model.boxes()));
+          Comparator.comparingInt(model -> -view.retainedCount(model.name()) * model.boxes()));
       warmings.begin(view.free(), byBoxes, nowNanos).forEach(order -> order(order, nowNanos));
     }
   }
@@ -198,7 +198,7 @@
     if (formation.isOverdue(nowNanos)) {
       return giveUp(formation, "not ready in time", nowNanos);
     }
-    view.bindStanding(members, formation.model().name());
+    view.bindRetained(members, formation.model().name());
     if (members.stream().allMatch(member -> member.isIn(replica, MemberState.READY))) {
       order(BoxOrder.of(head.box().id(), Verb.OPEN, replica, "all members are ready"), nowNanos);
       return true;
@@ -261,12 +261,12 @@
     }
     // Until its head has let go, nobody of it may be joined elsewhere.
     view.bind(replica.members());
-    view.noteMending(!isWhole);
+    view.recordDissolving(!isWhole);
     if (head.isLost()) {
       // Its members are free only once it is dead for certain.
       return;
     }
-    view.noteComingFree(replica.members());
+    view.addComingFree(replica.members());
     if (state.isServing()) {
       close(replica, head, state, isWhole, nowNanos);
     } else {
@@ -282,12 +282,12 @@
       long nowNanos) {
     boolean isClosed = closings.contains(replica.replica());
     if (state == MemberState.OPEN && !isClosed) {
-      view.bindStanding(replica.members(), model.name());
+      view.bindRetained(replica.members(), model.name());
       return true;
     }
     if (state == MemberState.READY && replica.isEveryMemberReady() && !isClosed) {
       // Left ready by an earlier keeper: it only needs to be opened.
-      view.bindStanding(replica.members(), model.name());
+      view.bindRetained(replica.members(), model.name());
       order(BoxOrder.of(head.box().id(), Verb.OPEN, replica.replica(), "found ready"), nowNanos);
       return true;
     }
@@ -317,9 +317,9 @@
     List<ObservedReplica> closed;
     if (demand.hasTraffic()) {
       DomainPacking packing = DomainPacking.of(models, demand, view.observedBoxes());
-      Map<String, Integer> counts = new HashMap<>(view.standing());
+      Map<String, Integer> counts = new HashMap<>(view.retained());
       packing
-          .fill(view.available(), view.standing())
+          .fill(view.available(), view.retained())
           .forEach((name, more) -> counts.merge(name, more, Integer::sum));
       wanted = counts;
       closed = conversion.choose(view, packing, wanted, givable, nowNanos);
@@ -379,7 +379,7 @@
   /** Lets the boxes that nobody wants serve too, for the most pressed model that they can hold. */
   private void formReserve(List<ModelShape> models, long nowNanos) {
     boolean isComplete = models.stream().allMatch(model -> surplus(model) >= 0);
-    if (!isComplete || view.isMending() || !closings.isEmpty()) {
+    if (!isComplete || view.isDissolving() || !closings.isEmpty()) {
       return;
     }
     for (ModelShape model : models) {
@@ -394,12 +394,12 @@
   }
 
   private int surplus(String model) {
-    return view.standingCount(model) - wanted.getOrDefault(model, 0);
+    return view.retainedCount(model) - wanted.getOrDefault(model, 0);
   }
 
   private double coverage(ModelShape model) {
     int count = wanted.getOrDefault(model.name(), 0);
-    return count == 0 ? 1 : (double) view.standingCount(model.name()) / count;
+    return count == 0 ? 1 : (double) view.retainedCount(model.name()) / count;
   }
 
   private boolean form(ModelShape model, long nowNanos) {
@@ -426,7 +426,7 @@
     long dueNanos = nowNanos + joinNanos(members, model);
     Formation formation = new Formation(replica, model, ids, nowNanos, dueNanos, limitNanos);
     formations.put(replica, formation);
-    view.bindStanding(members, model.name());
+    view.bindRetained(members, model.name());
     for (String id : ids) {
       order(BoxOrder.join(id, replica, model.name(), ids, "to hold " + model.name()), nowNanos);
     }
--- a/core/src/main/java/org/shoreroad/fleet/DomainView.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainView.java
@@ -17,9 +17,9 @@
 final class DomainView {
   private final Map<String, ObservedBox> observedById = new HashMap<>();
   private final Set<String> boundIds = new HashSet<>();
-  private final Map<String, Integer> standing = new HashMap<>();
+  private final Map<String, Integer> retained = new HashMap<>();
   private final List<ObservedBox> comingFree = new ArrayList<>();
-  private boolean isMending;
+  private boolean isDissolving;
   private boolean hasLoss;
 
   /** Creates a view in which every fit box is free. */
@@ -41,25 +41,25 @@
   }
 
   /** Notes that the boxes hold, or are to hold, a replica of the model that stays. */
-  void bindStanding(Collection<ObservedBox> members, String model) {
+  void bindRetained(Collection<ObservedBox> members, String model) {
     bind(members);
-    standing.merge(model, 1, Integer::sum);
+    retained.merge(model, 1, Integer::sum);
   }
 
   /** Notes that the boxes are free once their replica is let go, in a moment. */
-  void noteComingFree(Collection<ObservedBox> members) {
+  void addComingFree(Collection<ObservedBox> members) {
     members.stream().filter(ObservedBox::isFit).forEach(comingFree::add);
   }
 
   /** Notes that a replica is being closed or let go. */
-  void noteMending(boolean isLoss) {
-    isMending = true;
+  void recordDissolving(boolean isLoss) {
+    isDissolving = true;
     hasLoss = hasLoss || isLoss;
   }
 
   /** Returns true if a replica is being closed or let go. */
-  boolean isMending() {
-    return isMending;
+  boolean isDissolving() {
+    return isDissolving;
   }
 
   /** Returns true if one of these has lost a member. */
@@ -68,12 +68,12 @@
   }
 
   /** Returns the replicas of each model that stay, those that are formed among them. */
-  Map<String, Integer> standing() {
-    return standing;
+  Map<String, Integer> retained() {
+    return retained;
   }
 
-  int standingCount(String model) {
-    return standing.getOrDefault(model, 0);
+  int retainedCount(String model) {
+    return retained.getOrDefault(model, 0);
   }
 
   /** Returns the fit boxes that no replica has. */
--- a/core/src/main/java/org/shoreroad/fleet/HostPreparation.java
+++ b/core/src/main/java/org/shoreroad/fleet/HostPreparation.java
@@ -45,10 +45,10 @@
       return orders;
     }
     boolean isUrgent =
-        view.standing().isEmpty()
+        view.retained().isEmpty()
             || !demand.hasTraffic()
             || models.stream().anyMatch(model -> demand.replicaCount(model.name()) == 0);
-    stagings.begin(spec, view.observedById(), isUrgent, nowNanos);
+    stagings.update(spec, view.observedById(), isUrgent, nowNanos);
     for (ModelShape model : models) {
       if (surplus.applyAsInt(model) < 0) {
         view.pickMembers(model).forEach(observed -> stage(observed, model, orders, nowNanos));
@@ -62,7 +62,7 @@
         stageOther(observed, models, orders, nowNanos);
       }
     }
-    if (!isChanging && !view.isMending()) {
+    if (!isChanging && !view.isDissolving()) {
       for (ObservedBox observed : view.observedBoxes()) {
         if (observed.isFit()
             && (!demand.hasTraffic() || isSparable(observed, spec, models, demand))) {
--- a/core/src/main/java/org/shoreroad/fleet/OrderBook.java
+++ b/core/src/main/java/org/shoreroad/fleet/RecentOrders.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Holds back orders that were given a moment ago and may just not have shown; for one thread. */
-final class OrderBook {
+final class RecentOrders {
   /** Orders older than this many intervals are forgotten. */
   private static final int KEPT_INTERVALS = 16;
 
@@ -23,7 +23,7 @@
    *
    * @param repeatNanos how long the effect of an order is waited for, in nanoseconds
    */
-  OrderBook(long repeatNanos) {
+  RecentOrders(long repeatNanos) {
     this.repeatNanos = repeatNanos;
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Notes that the engine said that it carries the order out. */
-  void noteTaken(BoxOrder order, long nowNanos) {
+  void recordAccepted(BoxOrder order, long nowNanos) {
     takenNanos.put(keyOf(order), nowNanos);
   }
 
--- a/core/src/main/java/org/shoreroad/fleet/ReplicaConversion.java
+++ b/core/src/main/java/org/shoreroad/fleet/ReplicaConversion.java
@@ -111,7 +111,7 @@
   /** Returns the worst pressure if the boxes of replicas, and what is free, form what is best. */
   private static double pressureWithout(
       List<ObservedReplica> closed, DomainView view, DomainPacking packing) {
-    Map<String, Integer> rest = new HashMap<>(view.standing());
+    Map<String, Integer> rest = new HashMap<>(view.retained());
     List<ObservedBox> boxes = view.available();
     for (ObservedReplica replica : closed) {
       rest.merge(String.valueOf(replica.model()), -1, Integer::sum);
--- a/core/src/main/java/org/shoreroad/fleet/WeightPrefetch.java
+++ b/core/src/main/java/org/shoreroad/fleet/WeightPrefetch.java
@@ -21,7 +21,7 @@
   private int atOnce;
 
   /** Forgets what has ended and sets how many may run. */
-  void begin(
+  void update(
       EngineSpec spec, Map<String, ObservedBox> observedById, boolean isUrgent, long nowNanos) {
     atOnce = Math.max(1, spec.loadsAtOnce() / (isUrgent ? URGENT_DIVISOR : USUAL_DIVISOR));
     running
--- a/core/src/test/java/org/shoreroad/fleet/OrderBookTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/RecentOrdersTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class OrderBookTest {
+class RecentOrdersTest {
   private static final long REPEAT_NANOS = 500;
 
-  private final OrderBook book = new OrderBook(REPEAT_NANOS);
+  private final RecentOrders book = new RecentOrders(REPEAT_NANOS);
   private final BoxOrder open =
       BoxOrder.of("b", BoxOrder.Verb.OPEN, new ReplicaId("r", 1), "because");
 
@@ -22,7 +22,7 @@
   @Test
   void anOrderThatWasTakenWaitsLonger() {
     assertThat(book.isDue(open, 0), is(true));
-    book.noteTaken(open, 10);
+    book.recordAccepted(open, 10);
     assertThat(book.isDue(open, 5 * REPEAT_NANOS), is(false));
     assertThat(book.isDue(open, 10 + 6 * REPEAT_NANOS), is(true));
   }
--- a/core/src/test/java/org/shoreroad/fleet/ReplicaConversionTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/ReplicaConversionTest.java
@@ -49,11 +49,11 @@
   private List<String> choose() {
     DomainView view = new DomainView(observedBoxes);
     List<ObservedReplica> standing = List.copyOf(ObservedReplica.from(observedBoxes).values());
-    standing.forEach(replica -> view.bindStanding(replica.members(), "small"));
+    standing.forEach(replica -> view.bindRetained(replica.members(), "small"));
     DomainPacking packing = DomainPacking.of(MODELS, demand, observedBoxes);
-    Map<String, Integer> wanted = new HashMap<>(view.standing());
+    Map<String, Integer> wanted = new HashMap<>(view.retained());
     packing
-        .fill(view.available(), view.standing())
+        .fill(view.available(), view.retained())
         .forEach((name, more) -> wanted.merge(name, more, Integer::sum));
     return conversion.choose(view, packing, wanted, standing, nowNanos).stream()
         .map(replica -> replica.replica().name())
