--- a/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -13,63 +13,64 @@
 import org.shoreroad.fleet.BoxOrder.Verb;
 
 /**
- * Forms the replicas of one fabric domain and mends them.
+ * Reconciler of one fabric domain: forms its replicas and replaces those that lost a member.
  *
- * <p>It looks at what the boxes themselves say and gives the next orders; an order whose effect
- * does not show is given again. A box passes to another replica only after the head of its former
- * one was seen neither open nor closing and has left, or is dead: so no head ever runs requests
- * while a member belongs elsewhere, and a delayed opening finds nobody it fits. Used by one thread.
+ * <p>Each call compares the status reports of the boxes with the plan and returns the next orders.
+ * An order without a visible effect is repeated. A box joins another replica only after the head of
+ * its former one was observed neither open nor closing and has left, or is dead. So no head runs
+ * requests while a member belongs to another replica, and a delayed order to open no longer matches
+ * the replica of any box. Not thread-safe: used by one thread.
  *
  * @since 0.2
  */
 public final class DomainReconciler {
-  /** Join time of a box whose last model was the same, in seconds (users' pages). */
-  private static final double KNOWN_JOIN_SECONDS = 0.2;
+  /** Join time of a box whose last model was the same, in seconds (documented by the platform). */
+  private static final double REJOIN_SECONDS = 0.2;
 
-  /** Fraction of the load time that a load takes before the first request (users' pages). */
-  private static final double EARLY_LOAD_PART = 0.1;
+  /** Factor for load times before the first request (documented by the platform). */
+  private static final double INITIAL_LOAD_FACTOR = 0.1;
 
   private final String domain;
   private final ReconcilerTiming timing;
   private final LongSupplier epochs;
   private final Map<ReplicaId, Formation> formations = new LinkedHashMap<>();
-  private final ClosingReplicas closings;
+  private final ClosingReplicas closingReplicas;
   private final Map<ReplicaId, Long> headlessSinceNanos = new HashMap<>();
-  private final HostPreparation hosts = new HostPreparation();
-  private final SpareWarmup warmings;
+  private final HostPreparation hostPreparation = new HostPreparation();
+  private final SpareWarmup warmups;
   private final ReplicaConversion conversion;
-  private final RecentOrders orderBook;
+  private final RecentOrders recentOrders;
   private List<BoxOrder> orders = new ArrayList<>();
   private DomainView view = new DomainView(List.of());
   private Demand demand = Demand.NONE;
-  private Map<String, Integer> wanted = Map.of();
+  private Map<String, Integer> wantedCounts = Map.of();
   private boolean needsReports;
 
   /**
-   * Creates a keeper that knows nothing yet.
+   * Creates a reconciler without any formation in progress.
    *
-   * @param domain the domain's name, not null
-   * @param timing its times, not null
-   * @param epochs gives a number higher than any given before, by whatever process, not null
+   * @param domain the name of the domain, not null
+   * @param timing the time limits, not null
+   * @param epochs returns a number higher than any returned before, in any process, not null
    */
   public DomainReconciler(String domain, ReconcilerTiming timing, LongSupplier epochs) {
     this.domain = domain;
     this.timing = timing;
     this.epochs = epochs;
-    this.closings = new ClosingReplicas(timing);
-    this.warmings = new SpareWarmup(domain, epochs);
+    this.closingReplicas = new ClosingReplicas(timing);
+    this.warmups = new SpareWarmup(domain, epochs);
     this.conversion = new ReplicaConversion(domain);
-    this.orderBook = new RecentOrders(timing.orderRepeatNanos());
+    this.recentOrders = new RecentOrders(timing.orderRepeatNanos());
   }
 
-  /** Returns the heads whose closing is waited for. */
+  /** Returns the ids of the heads of replicas that are being closed. */
   public Set<String> closingHeadIds() {
-    return closings.headIds(view.observedBoxes());
+    return closingReplicas.headIds(view.observedBoxes());
   }
 
   /**
-   * Returns the boxes of the formations in progress, with the time on the steady clock at which
-   * each is expected to be ready by the engines' figures.
+   * Returns the ids of the boxes of the formations in progress. The value is the time on the steady
+   * clock, in nanoseconds, at which the box is expected to be ready by the engine specification.
    */
   public Map<String, Long> formingDueNanos() {
     Map<String, Long> dueNanos = new HashMap<>();
@@ -79,26 +80,26 @@
     return dueNanos;
   }
 
-  /** Returns true if a formation waits until the engines themselves have said where they stand. */
+  /** Returns true if a formation waits for recent status reports from the engines. */
   public boolean needsReports() {
     return needsReports;
   }
 
-  /** Returns true if a formation or a closing is under way, so that the boxes are worth asking. */
+  /** Returns true if a replica is being formed or closed, so that reports are useful. */
   public boolean isBusy() {
-    return !formations.isEmpty() || !closings.isEmpty();
+    return !formations.isEmpty() || !closingReplicas.isEmpty();
   }
 
   /**
    * Returns the orders to give now.
    *
-   * @param nowNanos the steady clock
+   * @param nowNanos the time on the steady clock, in nanoseconds
    * @param spec the engines of the service, not null
    * @param observedBoxes the boxes of the domain, not null
-   * @param plan what every domain is to hold, not null
-   * @param headsSeen the replicas whose heads were seen by this process at any time
-   * @param demand how pressed the models are, not null
-   * @return the orders, each for a box that is fit to take one
+   * @param plan the planned replicas of every domain, not null
+   * @param headsSeen the replicas whose heads this process has observed at any time, not null
+   * @param demand the load of the models, not null
+   * @return the orders, each for a box that can carry one out
    */
   public List<BoxOrder> decide(
       long nowNanos,
@@ -112,91 +113,91 @@
     view = new DomainView(observedBoxes);
     needsReports = false;
     Map<ReplicaId, ObservedReplica> observed = ObservedReplica.from(observedBoxes);
-    closings.retain(observed.keySet());
+    closingReplicas.retain(observed.keySet());
     headlessSinceNanos.keySet().retainAll(observed.keySet());
 
     formations.values().removeIf(formation -> !advance(formation, nowNanos));
-    warmings.forgetOlder(nowNanos - timing.warmingNanos());
+    warmups.forgetOlder(nowNanos - timing.warmupNanos());
     for (ObservedReplica replica : observed.values()) {
       if (!formations.containsKey(replica.replica())) {
-        keepAny(replica, spec, headsSeen, nowNanos);
+        reconcileReplica(replica, spec, headsSeen, nowNanos);
       }
     }
-    List<ModelShape> models = byNeed(spec, plan);
-    makeRoom(models, observed.values(), nowNanos);
+    List<ModelShape> models = sortByPressure(spec, plan);
+    closeReplicas(models, observed.values(), nowNanos);
     formMissing(models, nowNanos);
     formReserve(models, nowNanos);
     if (!needsReports) {
-      boolean isChanging = !formations.isEmpty();
-      hosts
-          .prepare(view, spec, models, demand, this::surplus, isChanging, nowNanos)
+      boolean isForming = !formations.isEmpty();
+      hostPreparation
+          .prepare(view, spec, models, demand, this::surplus, isForming, nowNanos)
           .forEach(order -> order(order, nowNanos));
       warmSpares(models, nowNanos);
     }
     return orders;
   }
 
-  private void keepAny(
+  private void reconcileReplica(
       ObservedReplica replica, EngineSpec spec, Set<ReplicaId> headsSeen, long nowNanos) {
     ObservedBox head = replica.head();
-    if (warmings.isUnderWay(replica)) {
+    if (warmups.isUnderWay(replica)) {
       view.bind(replica.members());
     } else if (head == null) {
-      keepHeadless(replica, headsSeen, nowNanos);
+      bindHeadlessMembers(replica, headsSeen, nowNanos);
     } else {
-      keep(replica, head, spec, nowNanos);
+      reconcileHeadedReplica(replica, head, spec, nowNanos);
     }
   }
 
-  /** Forgets what was ordered of a box that is gone or has started again. */
+  /** Removes the orders to a box that has ended or restarted. */
   public void forget(String boxId) {
-    orderBook.forget(boxId);
-    hosts.forget(boxId);
+    recentOrders.forget(boxId);
+    hostPreparation.forget(boxId);
   }
 
-  /** Notes that an engine said that it carries an order out. */
+  /** Records that an engine has accepted an order. */
   public void recordAccepted(BoxOrder order, long nowNanos) {
-    orderBook.recordAccepted(order, nowNanos);
+    recentOrders.recordAccepted(order, nowNanos);
   }
 
   /**
-   * Notes that an order does not fit an engine's state. A head that can't be opened though it seems
-   * ready is let go, so that its boxes serve in another formation.
+   * Records that an engine has rejected an order because it does not fit its state. If a head that
+   * seems ready can't be opened, its replica is dissolved, so that its boxes serve in another one.
    */
   public void recordRejected(BoxOrder order, long nowNanos) {
     if (order.verb() == Verb.OPEN && order.replica() != null) {
-      closings.begin(order.replica(), true, nowNanos);
+      closingReplicas.begin(order.replica(), true, nowNanos);
     }
   }
 
-  /** Lets spare boxes take the weights from their hosts that they would most likely need. */
+  /** Lets spare boxes load the weights that they will most likely need, from their hosts. */
   private void warmSpares(List<ModelShape> models, long nowNanos) {
     if (formations.isEmpty() && !view.isDissolving()) {
       List<ModelShape> byBoxes = new ArrayList<>(models);
       byBoxes.sort(
           Comparator.comparingInt(model -> -view.retainedCount(model.name()) * model.boxes()));
-      warmings.begin(view.free(), byBoxes, nowNanos).forEach(order -> order(order, nowNanos));
+      warmups.begin(view.free(), byBoxes, nowNanos).forEach(order -> order(order, nowNanos));
     }
   }
 
-  /** Takes a formation a step further; returns false if it is done or given up. */
+  /** Orders the next step of a formation. Returns false if it is complete or abandoned. */
   private boolean advance(Formation formation, long nowNanos) {
     ReplicaId replica = formation.replica();
     List<ObservedBox> members = new ArrayList<>();
     for (String id : formation.memberIds()) {
       ObservedBox observed = view.observedById().get(id);
       if (observed == null || !observed.isFit()) {
-        return giveUp(formation, "member " + id + " is not fit", nowNanos);
+        return abandon(formation, "member " + id + " is unavailable", nowNanos);
       }
       members.add(observed);
     }
     ObservedBox head = members.get(0);
     if (head.isIn(replica, MemberState.OPEN)) {
-      // From now on it is kept as any standing replica.
+      // The formation is complete. From now on it is handled like any other replica.
       return false;
     }
     if (formation.isOverdue(nowNanos)) {
-      return giveUp(formation, "not ready in time", nowNanos);
+      return abandon(formation, "not ready in time", nowNanos);
     }
     view.bindRetained(members, formation.model().name());
     if (members.stream().allMatch(member -> member.isIn(replica, MemberState.READY))) {
@@ -218,26 +219,30 @@
     return true;
   }
 
-  private boolean giveUp(Formation formation, String why, long nowNanos) {
+  private boolean abandon(Formation formation, String reason, long nowNanos) {
     Map<String, ObservedBox> observedById = view.observedById();
     ObservedBox head = observedById.get(formation.headId());
     if (head != null && isMemberOf(head, formation.replica()) && !head.isLost()) {
       view.bind(
           formation.memberIds().stream().map(observedById::get).filter(Objects::nonNull).toList());
       order(
-          BoxOrder.of(head.box().id(), Verb.LEAVE, formation.replica(), "given up: " + why),
+          BoxOrder.of(
+              head.box().id(), Verb.LEAVE, formation.replica(), "formation abandoned: " + reason),
           nowNanos);
     }
     return false;
   }
 
   /**
-   * Decides on members whose head is not among the boxes: one that was seen is dead or belongs
-   * elsewhere by now, and the members are free; one that never was may still be open somewhere.
+   * Binds the members of a replica whose head is not among the boxes. A head that was observed
+   * before is dead or belongs to another replica by now, so its members are free. One that never
+   * was may still be open, so its members stay bound for a time.
    */
-  private void keepHeadless(ObservedReplica replica, Set<ReplicaId> headsSeen, long nowNanos) {
+  private void bindHeadlessMembers(
+      ObservedReplica replica, Set<ReplicaId> headsSeen, long nowNanos) {
     if (headsSeen.contains(replica.replica())) {
-      // A member that was cut off together with its head did not make the head break.
+      // A head does not break its replica over a member that was partitioned together with it, so
+      // such a member stays bound.
       view.bind(replica.members().stream().filter(member -> !member.isSteady()).toList());
       return;
     }
@@ -247,8 +252,9 @@
     }
   }
 
-  /** Decides on a replica that is not being formed by this keeper. */
-  private void keep(ObservedReplica replica, ObservedBox head, EngineSpec spec, long nowNanos) {
+  /** Retains or dissolves a replica with a head that is not being formed by this reconciler. */
+  private void reconcileHeadedReplica(
+      ObservedReplica replica, ObservedBox head, EngineSpec spec, long nowNanos) {
     String modelName = replica.model();
     ModelShape model = modelName == null ? null : spec.findModel(modelName).orElse(null);
     Membership membership = head.box().membership();
@@ -256,39 +262,43 @@
     boolean isWhole = model != null && !replica.hasLostMember(model.boxes());
     if (isWhole
         && !replica.hasLeavingMember()
-        && keepWhole(replica, head, state, model, nowNanos)) {
+        && tryRetain(replica, head, state, model, nowNanos)) {
       return;
     }
-    // Until its head has let go, nobody of it may be joined elsewhere.
+    // Its boxes may join another replica only after its head has left this one.
     view.bind(replica.members());
     view.recordDissolving(!isWhole);
     if (head.isLost()) {
-      // Its members are free only once it is dead for certain.
+      // The members are free only once the head is certainly dead.
       return;
     }
     view.addComingFree(replica.members());
     if (state.isServing()) {
       close(replica, head, state, isWhole, nowNanos);
     } else {
-      order(BoxOrder.of(head.box().id(), Verb.LEAVE, replica.replica(), "let go"), nowNanos);
+      order(
+          BoxOrder.of(head.box().id(), Verb.LEAVE, replica.replica(), "replica is dissolved"),
+          nowNanos);
     }
   }
 
-  private boolean keepWhole(
+  private boolean tryRetain(
       ObservedReplica replica,
       ObservedBox head,
       MemberState state,
       ModelShape model,
       long nowNanos) {
-    boolean isClosed = closings.contains(replica.replica());
+    boolean isClosed = closingReplicas.contains(replica.replica());
     if (state == MemberState.OPEN && !isClosed) {
       view.bindRetained(replica.members(), model.name());
       return true;
     }
     if (state == MemberState.READY && replica.isEveryMemberReady() && !isClosed) {
-      // Left ready by an earlier keeper: it only needs to be opened.
+      // An earlier owner of the domain formed it: it only needs to be opened.
       view.bindRetained(replica.members(), model.name());
-      order(BoxOrder.of(head.box().id(), Verb.OPEN, replica.replica(), "found ready"), nowNanos);
+      order(
+          BoxOrder.of(head.box().id(), Verb.OPEN, replica.replica(), "formed by an earlier owner"),
+          nowNanos);
       return true;
     }
     return false;
@@ -300,20 +310,20 @@
       MemberState state,
       boolean isWhole,
       long nowNanos) {
-    BoxOrder closing = closings.order(replica, head, state, isWhole, nowNanos);
+    BoxOrder closing = closingReplicas.order(replica, head, state, isWhole, nowNanos);
     if (closing != null) {
       order(closing, nowNanos);
     }
   }
 
   /**
-   * Closes replicas whose boxes do more elsewhere, and settles how many replicas of each model the
-   * domain is to hold: before the first request what the plan says, then what stands and what its
-   * free boxes do best.
+   * Closes replicas whose boxes are of more use in others, and sets how many replicas of each model
+   * the domain is to hold: before the first request those of the plan, afterwards the retained ones
+   * and the best packing of the available boxes.
    */
-  private void makeRoom(
+  private void closeReplicas(
       List<ModelShape> models, Collection<ObservedReplica> observed, long nowNanos) {
-    List<ObservedReplica> givable = observed.stream().filter(this::isGivable).toList();
+    List<ObservedReplica> closable = observed.stream().filter(this::isClosable).toList();
     List<ObservedReplica> closed;
     if (demand.hasTraffic()) {
       DomainPacking packing = DomainPacking.of(models, demand, view.observedBoxes());
@@ -321,45 +331,48 @@
       packing
           .fill(view.available(), view.retained())
           .forEach((name, more) -> counts.merge(name, more, Integer::sum));
-      wanted = counts;
-      closed = conversion.choose(view, packing, wanted, givable, nowNanos);
+      wantedCounts = counts;
+      closed = conversion.choose(view, packing, wantedCounts, closable, nowNanos);
     } else {
-      closed = reserveToGiveUp(models, givable);
+      closed = reserveToClose(models, closable);
     }
     for (ObservedReplica replica : closed) {
-      // After a loss callers of the wanted model have fewer replicas, or none.
-      closings.begin(replica.replica(), view.hasLoss(), nowNanos);
+      // The drain time is short after a loss: the wanted model has fewer replicas then, or none.
+      closingReplicas.begin(replica.replica(), view.hasLoss(), nowNanos);
       close(replica, Objects.requireNonNull(replica.head()), MemberState.OPEN, true, nowNanos);
     }
   }
 
-  private boolean isGivable(ObservedReplica replica) {
+  private boolean isClosable(ObservedReplica replica) {
     ObservedBox head = replica.head();
     return head != null
         && replica.model() != null
         && head.box().isOpenHead()
-        && !closings.contains(replica.replica());
+        && !closingReplicas.contains(replica.replica());
   }
 
-  /** Returns a replica beyond the plan if a wanted one has no boxes otherwise. */
-  private List<ObservedReplica> reserveToGiveUp(
-      List<ModelShape> models, List<ObservedReplica> givable) {
+  /** Returns a replica beyond the plan if a planned one lacks boxes otherwise. */
+  private List<ObservedReplica> reserveToClose(
+      List<ModelShape> models, List<ObservedReplica> closable) {
     int available = view.availableCount();
     boolean isLacking =
         models.stream().anyMatch(model -> surplus(model) < 0 && model.boxes() > available);
-    return givable.stream()
+    return closable.stream()
         .filter(replica -> isLacking && surplus(String.valueOf(replica.model())) > 0)
         .limit(1)
         .toList();
   }
 
-  /** Returns the models, the most pressed first; of equal ones the one that lacks the most. */
-  private List<ModelShape> byNeed(EngineSpec spec, ReplicaPlan plan) {
+  /**
+   * Resets the wanted counts to those of the plan. Returns the models by falling pressure, and
+   * those of equal pressure by rising coverage.
+   */
+  private List<ModelShape> sortByPressure(EngineSpec spec, ReplicaPlan plan) {
     List<ModelShape> models = new ArrayList<>(spec.models());
     models.removeIf(model -> model.share() <= 0);
     Map<String, Integer> planned = new HashMap<>();
     models.forEach(model -> planned.put(model.name(), plan.wanted(domain, model.name())));
-    wanted = planned;
+    wantedCounts = planned;
     models.sort(
         Comparator.comparingDouble((ModelShape model) -> -demand.pressure(model.name()))
             .thenComparingDouble(this::coverage));
@@ -376,10 +389,10 @@
     }
   }
 
-  /** Lets the boxes that nobody wants serve too, for the most pressed model that they can hold. */
+  /** Forms a replica from unused boxes, of the model with the highest pressure that fits. */
   private void formReserve(List<ModelShape> models, long nowNanos) {
     boolean isComplete = models.stream().allMatch(model -> surplus(model) >= 0);
-    if (!isComplete || view.isDissolving() || !closings.isEmpty()) {
+    if (!isComplete || view.isDissolving() || !closingReplicas.isEmpty()) {
       return;
     }
     for (ModelShape model : models) {
@@ -394,11 +407,11 @@
   }
 
   private int surplus(String model) {
-    return view.retainedCount(model) - wanted.getOrDefault(model, 0);
+    return view.retainedCount(model) - wantedCounts.getOrDefault(model, 0);
   }
 
   private double coverage(ModelShape model) {
-    int count = wanted.getOrDefault(model.name(), 0);
+    int count = wantedCounts.getOrDefault(model.name(), 0);
     return count == 0 ? 1 : (double) view.retainedCount(model.name()) / count;
   }
 
@@ -408,12 +421,13 @@
       return false;
     }
     int loads = (int) members.stream().filter(observed -> observed.isCold(model)).count();
-    // A load keeps all members idle: the weights are put on the hosts first, but at the very start.
-    if (loads > 0 && !isFresh()) {
+    // Members are idle while one of them loads weights. So the weights are loaded to the hosts
+    // first, except in a domain that has neither weights nor traffic yet.
+    if (loads > 0 && !hasNeitherWeightsNorTraffic()) {
       return false;
     }
-    // This check follows the one for weights. The other order would request reports from all boxes
-    // of a domain for as long as weights are missing.
+    // This check follows the one for weights. The reverse order would request reports from all
+    // boxes of a domain for as long as weights are missing.
     if (!view.isConfirmed()) {
       needsReports = true;
       return false;
@@ -428,13 +442,13 @@
     formations.put(replica, formation);
     view.bindRetained(members, model.name());
     for (String id : ids) {
-      order(BoxOrder.join(id, replica, model.name(), ids, "to hold " + model.name()), nowNanos);
+      order(BoxOrder.join(id, replica, model.name(), ids, "to serve " + model.name()), nowNanos);
     }
     return true;
   }
 
-  /** Returns true if no box of the domain has weights and there was no request yet. */
-  private boolean isFresh() {
+  /** Returns true before the first request, as long as no box of the domain has weights. */
+  private boolean hasNeitherWeightsNorTraffic() {
     return !demand.hasTraffic() && view.observedBoxes().stream().allMatch(ObservedBox::isBlank);
   }
 
@@ -443,15 +457,15 @@
     int cost = members.stream().mapToInt(observed -> observed.joinCost(model)).max().orElse(0);
     double seconds =
         switch (cost) {
-          case 0 -> KNOWN_JOIN_SECONDS;
+          case 0 -> REJOIN_SECONDS;
           case 1 -> model.warmSeconds();
-          default -> model.loadSeconds() * (demand.hasTraffic() ? 1 : EARLY_LOAD_PART);
+          default -> model.loadSeconds() * (demand.hasTraffic() ? 1 : INITIAL_LOAD_FACTOR);
         };
     return (long) (seconds * 1e9);
   }
 
   private void order(BoxOrder order, long nowNanos) {
-    if (orderBook.isDue(order, nowNanos)) {
+    if (recentOrders.isDue(order, nowNanos)) {
       orders.add(order);
     }
   }
--- a/core/src/main/java/org/shoreroad/fleet/ReconcilerTiming.java
+++ b/core/src/main/java/org/shoreroad/fleet/ReconcilerTiming.java
@@ -3,17 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The times by which a domain's replicas are kept.
+ * Time limits of a {@link DomainReconciler}.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param orderRepeatNanos how long the effect of an order is waited for before it is given again
- * @param joinSlackNanos how much longer than its model's load time a formation may take
- * @param drainLimitNanos how long running requests may keep a closing replica, then they are cut
- * @param urgentDrainLimitNanos the same for a replica that makes room after a loss, or that moves
- *     though a member seems to be lost
- * @param headlessNanos how long the members of a replica whose head was never seen stay bound
- * @param warmingNanos how long a spare box may take weights from its host
+ * @param orderRepeatNanos the time after which an order without visible effect is repeated
+ * @param joinSlackNanos the time that a formation may take beyond the load time of its model
+ * @param drainLimitNanos the time that running requests of a closing replica have before they are
+ *     cut off
+ * @param urgentDrainLimitNanos the same for a replica that is closed after a loss to free its
+ *     boxes, or whose requests still progress although a member seems to be lost
+ * @param headlessNanos how long the members of a replica whose head was never observed stay bound
+ * @param warmupNanos how long a spare box may take to load weights from its host
  * @since 0.2
  */
 public record ReconcilerTiming(
@@ -22,13 +23,19 @@
     long drainLimitNanos,
     long urgentDrainLimitNanos,
     long headlessNanos,
-    long warmingNanos) {
+    long warmupNanos) {
   /**
-   * Half a second covers an order, its effect and the report of it; four seconds cover a loss in
-   * between; eight seconds are below the ten for which a leaving member waits for its head; most
-   * answers end within one and a half; a head that nobody can find is broken by its own engine
-   * after five seconds, and three more for the store's list to come; weights come from a host
-   * within two seconds, and twice that is lost.
+   * The defaults:
+   *
+   * <ul>
+   *   <li>order repeat, 0.5 s: covers an order, its effect and the report of it;
+   *   <li>join slack, 4 s: covers a loss during the formation;
+   *   <li>drain, 8 s: less than the 10 s for which a leaving member waits for its head;
+   *   <li>urgent drain, 1.5 s: most answers end within this time;
+   *   <li>headless, 8 s: the engine of a head without connection breaks the replica after 5 s, and
+   *       the list from the store may be 3 s late;
+   *   <li>warm-up, 4 s: weights load from a host within 2 s; after twice that the order is lost.
+   * </ul>
    */
   public static final ReconcilerTiming DEFAULT =
       new ReconcilerTiming(
