--- a/core/src/main/java/org/shoreroad/fleet/ClosingReplicas.java
+++ b/core/src/main/java/org/shoreroad/fleet/ClosingReplicas.java
@@ -7,29 +7,32 @@
 import org.jspecify.annotations.Nullable;
 import org.shoreroad.fleet.BoxOrder.Verb;
 
-/** The replicas of a domain whose boxes are to serve elsewhere; for one thread. */
+/**
+ * The replicas of a domain that are being closed so that their boxes can serve in others. Not
+ * thread-safe: used by one thread.
+ */
 final class ClosingReplicas {
-  /** Why a whole replica is closed. */
-  private static final String MAKES_ROOM = "a wanted replica lacks boxes";
+  /** Reason for closing a complete replica. */
+  private static final String BOXES_WANTED = "a wanted replica lacks boxes";
 
-  private static final String MEMBER_IS_LOST = "a member is lost";
+  private static final String MEMBER_LOST = "a member is lost";
 
   private final ReconcilerTiming timing;
   private final Map<ReplicaId, Closing> closings = new HashMap<>();
 
   /**
-   * Creates closings of which none is under way.
+   * Creates a tracker without closing replicas.
    *
-   * @param timing how long running requests may keep a closing replica, not null
+   * @param timing the drain limits, not null
    */
   ClosingReplicas(ReconcilerTiming timing) {
     this.timing = timing;
   }
 
   /**
-   * Notes that a replica is to be closed, unless that is noted.
+   * Records that a replica is to be closed, unless that is already recorded.
    *
-   * @param isUrgent true if its work is waited for only a short time
+   * @param isUrgent true if the short drain limit applies
    */
   void begin(ReplicaId replica, boolean isUrgent, long nowNanos) {
     closings.putIfAbsent(replica, new Closing(nowNanos, isUrgent));
@@ -43,12 +46,12 @@
     return closings.isEmpty();
   }
 
-  /** Forgets all other replicas: they are gone. */
+  /** Removes all other replicas, which no longer exist. */
   void retain(Set<ReplicaId> replicas) {
     closings.keySet().retainAll(replicas);
   }
 
-  /** Returns the heads among the boxes whose closing is waited for. */
+  /** Returns the ids of the boxes that are heads of closing replicas. */
   Set<String> headIds(Iterable<ObservedBox> observedBoxes) {
     Set<String> ids = new HashSet<>();
     for (ObservedBox observed : observedBoxes) {
@@ -61,10 +64,11 @@
   }
 
   /**
-   * Returns the order that closes a replica, which is noted if it was not, or null if its head only
-   * has to end its work.
+   * Returns the order that closes a replica, or null if its head only has to finish its running
+   * requests. Records the replica as closing if it is not.
    *
-   * @param isWhole false if a member seems to be lost; then its work can't end if it stands still
+   * @param isWhole false if a member seems to be lost; if the replica is stalled too, its requests
+   *     can't finish
    */
   @Nullable BoxOrder order(
       ObservedReplica replica,
@@ -75,12 +79,14 @@
     begin(replica.replica(), !isWhole, nowNanos);
     Closing closing = closings.get(replica.replica());
     String headId = head.box().id();
-    // A head that gives events has all its members, although one of them does not answer here.
+    // If requests still progress, the replica has all its members, although one does not answer
+    // this process.
     if (!isWhole && head.isStalled()) {
-      return BoxOrder.of(headId, Verb.CLOSE_NOW, replica.replica(), MEMBER_IS_LOST);
+      return BoxOrder.of(headId, Verb.CLOSE_NOW, replica.replica(), MEMBER_LOST);
     }
     if (nowNanos - closing.sinceNanos() > closing.limitNanos(timing)) {
-      return BoxOrder.of(headId, Verb.CLOSE_NOW, replica.replica(), "its work lasts too long");
+      return BoxOrder.of(
+          headId, Verb.CLOSE_NOW, replica.replica(), "running requests take too long");
     }
     String reason = reason(replica, isWhole);
     return state == MemberState.OPEN
@@ -90,16 +96,16 @@
 
   private static String reason(ObservedReplica replica, boolean isWhole) {
     if (!isWhole) {
-      return MEMBER_IS_LOST;
+      return MEMBER_LOST;
     }
-    return replica.hasLeavingMember() ? "a member leaves" : MAKES_ROOM;
+    return replica.hasLeavingMember() ? "a member leaves" : BOXES_WANTED;
   }
 
   /**
-   * A closing.
+   * The closing of one replica.
    *
-   * @param sinceNanos when it was decided
-   * @param isUrgent true if the replica's work is waited for only a short time
+   * @param sinceNanos the time of the decision, on the steady clock
+   * @param isUrgent true if the short drain limit applies
    */
   private record Closing(long sinceNanos, boolean isUrgent) {
     long limitNanos(ReconcilerTiming timing) {
--- a/core/src/main/java/org/shoreroad/fleet/DomainView.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainView.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 
 /**
- * The boxes of a domain during one decision of its keeper: which of them a replica holds, which are
- * free, and what stands. It is filled while the keeper looks at one replica after the other; for
- * one thread.
+ * View of the boxes of a domain during one call of {@link DomainReconciler#decide}: which are bound
+ * to a replica, which are free, and which replicas are retained. The reconciler fills it while it
+ * iterates over the replicas. Not thread-safe: used by one thread.
  */
 final class DomainView {
   private final Map<String, ObservedBox> observedById = new HashMap<>();
@@ -35,39 +35,43 @@
     return observedById;
   }
 
-  /** Notes that the boxes belong to a replica, or must not join another one yet. */
+  /** Marks boxes as bound: they belong to a replica, or must not join another one yet. */
   void bind(Collection<ObservedBox> members) {
     members.forEach(member -> boundIds.add(member.box().id()));
   }
 
-  /** Notes that the boxes hold, or are to hold, a replica of the model that stays. */
+  /** Binds the boxes of a retained replica of the model, which serves or is being formed. */
   void bindRetained(Collection<ObservedBox> members, String model) {
     bind(members);
     retained.merge(model, 1, Integer::sum);
   }
 
-  /** Notes that the boxes are free once their replica is let go, in a moment. */
+  /** Adds the boxes of a replica that is being dissolved, which are free soon. */
   void addComingFree(Collection<ObservedBox> members) {
     members.stream().filter(ObservedBox::isFit).forEach(comingFree::add);
   }
 
-  /** Notes that a replica is being closed or let go. */
+  /**
+   * Records that a replica is being dissolved: its head is closed, or leaves.
+   *
+   * @param isLoss true if the replica has lost a member
+   */
   void recordDissolving(boolean isLoss) {
     isDissolving = true;
     hasLoss = hasLoss || isLoss;
   }
 
-  /** Returns true if a replica is being closed or let go. */
+  /** Returns true if a replica is being dissolved. */
   boolean isDissolving() {
     return isDissolving;
   }
 
-  /** Returns true if one of these has lost a member. */
+  /** Returns true if a replica that is being dissolved has lost a member. */
   boolean hasLoss() {
     return hasLoss;
   }
 
-  /** Returns the replicas of each model that stay, those that are formed among them. */
+  /** Returns the number of retained replicas of each model, including those being formed. */
   Map<String, Integer> retained() {
     return retained;
   }
@@ -76,7 +80,7 @@
     return retained.getOrDefault(model, 0);
   }
 
-  /** Returns the fit boxes that no replica has. */
+  /** Returns the fit boxes that are not bound. */
   List<ObservedBox> free() {
     List<ObservedBox> free = new ArrayList<>();
     for (ObservedBox observed : observedById.values()) {
@@ -87,7 +91,7 @@
     return free;
   }
 
-  /** Returns the boxes with weights that are free, or come free as their replicas are closed. */
+  /** Returns the boxes with weights that are free, or will be when their replicas are dissolved. */
   List<ObservedBox> available() {
     List<ObservedBox> available = free();
     available.addAll(comingFree);
@@ -95,12 +99,12 @@
     return available;
   }
 
-  /** Returns how many boxes are free or come free, with weights or without. */
+  /** Returns the number of boxes that are free or will be soon, with weights or without. */
   int availableCount() {
     return free().size() + comingFree.size();
   }
 
-  /** Returns the free boxes that can hold the model soonest, as many as it needs if there are. */
+  /** Returns the free boxes that can join a replica of the model soonest, at most its size. */
   List<ObservedBox> pickMembers(ModelShape model) {
     List<ObservedBox> free = free();
     free.sort(
@@ -110,8 +114,8 @@
   }
 
   /**
-   * Returns true if every fit box has said where it stands a moment ago. The list may lag behind
-   * the engines: a head that it shows as free may be open again.
+   * Returns true if there is a recent status report from every fit box. The list may lag behind the
+   * engines: a head that it shows as free may be open again.
    */
   boolean isConfirmed() {
     return observedById.values().stream()
