--- a/core/src/main/java/org/shoreroad/fleet/FleetBox.java
+++ b/core/src/main/java/org/shoreroad/fleet/FleetBox.java
@@ -5,22 +5,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One incarnation of an upstream process as the list of upstreams shows it.
+ * Entry of one incarnation of an upstream process in the list of upstreams.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param id the id under which it is listed; a restart may have the same, not null
- * @param bornMs its start by its own clock, in milliseconds since 1970, or {@link
+ * @param id the id under which it is listed, not null; it may stay the same after a restart
+ * @param bornMs the start time by its own clock, in milliseconds since 1970, or {@link
  *     Incarnation#UNKNOWN_START}
  * @param service the service it belongs to, not null
  * @param address its address as {@code host:port}, not null
  * @param zone its availability zone, not null
- * @param slots the requests that it works on at once
- * @param isLeaving true once it has said that it is about to end
+ * @param slots the number of requests that it runs concurrently
+ * @param isLeaving true once it has announced its end
  * @param domain its fabric domain, or null for an upstream that forms no replicas
  * @param model the model whose weights it holds, or null
- * @param stagedModels the models whose weights lie on its host
- * @param membership its place in a replica, or null
+ * @param stagedModels the models whose weights are on its host
+ * @param membership its membership in a replica, or null
  * @since 0.2
  */
 public record FleetBox(
@@ -35,7 +35,7 @@
     @Nullable String model,
     List<String> stagedModels,
     @Nullable Membership membership) {
-  /** Copies the list and checks the rest. */
+  /** Creates a box with a copy of the list. */
   public FleetBox {
     Objects.requireNonNull(id, "id");
     Objects.requireNonNull(service, "service");
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Returns true if both tell their start, and are different incarnations under one id. Which of
-   * them is later their start times do not tell: they come from clocks that may be set back.
+   * Returns true if both report a start time and are different incarnations under one id. The start
+   * times don't show which of them is later, because the clocks may have been set back.
    */
   public boolean isOtherIncarnationOf(FleetBox other) {
     return id.equals(other.id)
@@ -86,7 +86,7 @@
         && bornMs != other.bornMs;
   }
 
-  /** Returns true if this box is the head of a replica, in whatever state. */
+  /** Returns true if this box is the head of a replica, in any state. */
   public boolean isHead() {
     return membership != null && membership.isHead();
   }
@@ -96,7 +96,7 @@
     return membership != null && membership.isHead() && membership.state() == MemberState.OPEN;
   }
 
-  /** Returns this box with another start time; see {@link Incarnation#bornMs()}. */
+  /** Returns a copy of this box with another start time; see {@link Incarnation#bornMs()}. */
   public FleetBox withStart(long newBornMs) {
     return new FleetBox(
         id,
@@ -112,13 +112,13 @@
         membership);
   }
 
-  /** Returns this box as one that is about to end. */
+  /** Returns a copy of this box that is leaving. */
   public FleetBox withLeaving() {
     return new FleetBox(
         id, bornMs, service, address, zone, slots, true, domain, model, stagedModels, membership);
   }
 
-  /** Returns this box with the model, the host and the replica of a newer status report. */
+  /** Returns a copy with the model, staged models and membership of a newer status report. */
   public FleetBox withEngineState(
       @Nullable String newModel, List<String> newStaged, @Nullable Membership newMembership) {
     return new FleetBox(
@@ -135,8 +135,8 @@
         newMembership);
   }
 
-  // Written out: the generated methods are method handles, which cost 20 to 40 ms of processor time
-  // at their first use in a process, and 137 ns a lookup in place of 26 ns with the C1 compiler.
+  // Explicit, because the generated methods use method handles: their first use in a process costs
+  // 20 to 40 ms of CPU time, and a lookup takes 137 ns instead of 26 ns with the C1 compiler.
 
   @Override
   public boolean equals(@Nullable Object other) {
--- a/core/src/main/java/org/shoreroad/fleet/Formation.java
+++ b/core/src/main/java/org/shoreroad/fleet/Formation.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A replica that is being formed.
+ * Formation of a replica in progress.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param replica its name and number
+ * @param replica the id of the replica
  * @param model the model
- * @param memberIds the ids of its boxes, the head first
- * @param startedNanos when it was begun, on the steady clock
- * @param dueNanos the expected time at which all members are ready, on that clock
- * @param limitNanos how long it may take
+ * @param memberIds the ids of the members, the head first
+ * @param startedNanos the start time on the steady clock
+ * @param dueNanos the time at which all members are expected to be ready, on the same clock
+ * @param limitNanos the time that the formation may take
  * @since 0.2
  */
 record Formation(
--- a/core/src/main/java/org/shoreroad/fleet/Incarnation.java
+++ b/core/src/main/java/org/shoreroad/fleet/Incarnation.java
@@ -6,26 +6,25 @@
 /**
  * Identity of one run of an upstream process, from its start to its end.
  *
- * <p>An upstream may start again under the id that it had. It then holds nothing of what it held
- * before, so what is believed of one incarnation says nothing about another one. This class is
- * immutable and thread-safe.
+ * <p>An upstream may restart under the same id. It has lost all its state then, so observations of
+ * one incarnation don't apply to another one. This class is immutable and thread-safe.
  *
  * @param id the id under which the upstream is listed, not null
- * @param bornMs the start by the upstream's own clock, in milliseconds since 1970, or {@link
+ * @param bornMs the start time by the upstream's own clock, in milliseconds since 1970, or {@link
  *     #UNKNOWN_START}
  * @since 0.2
  */
 public record Incarnation(String id, long bornMs) {
-  /** Stands for the start time of an upstream that does not report one. */
+  /** Placeholder for the start time of an upstream that does not report one. */
   public static final long UNKNOWN_START = 0;
 
-  /** Checks that the id is there. */
+  /** Creates an incarnation. */
   public Incarnation {
     Objects.requireNonNull(id, "id");
   }
 
-  // Written out: the generated methods are method handles, which cost 20 to 40 ms of processor time
-  // at their first use in a process, and 137 ns a lookup in place of 26 ns with the C1 compiler.
+  // Explicit, because the generated methods use method handles: their first use in a process costs
+  // 20 to 40 ms of CPU time, and a lookup takes 137 ns instead of 26 ns with the C1 compiler.
 
   @Override
   public boolean equals(@Nullable Object other) {
--- a/core/src/main/java/org/shoreroad/fleet/MemberState.java
+++ b/core/src/main/java/org/shoreroad/fleet/MemberState.java
@@ -1,20 +1,20 @@
 package org.shoreroad.fleet;
 
 /**
- * Where a box stands in the life of its replica, as its engine tells it.
+ * State of a box in its replica, as its engine reports it.
  *
  * <p>This enum is immutable and thread-safe.
  *
  * @since 0.2
  */
 public enum MemberState {
-  /** Loads the weights. */
+  /** The box loads the weights. */
   JOINING,
-  /** Holds the weights; no requests are taken. */
+  /** The box holds the weights and takes no requests. */
   READY,
   /** The head takes requests. */
   OPEN,
-  /** The head ends what it has and takes nothing new. */
+  /** The head finishes its running requests and takes no new ones. */
   CLOSING,
   /** The engine found that a member is lost. */
   BROKEN;
--- a/core/src/main/java/org/shoreroad/fleet/Membership.java
+++ b/core/src/main/java/org/shoreroad/fleet/Membership.java
@@ -4,29 +4,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A box's place in a replica, as its engine tells it.
+ * Membership of a box in a replica, as its engine reports it.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param replica the replica, not null
- * @param rank the place in the list of members; the head has 0
- * @param state how far the box is, not null
+ * @param rank the index in the list of members, 0 for the head
+ * @param state the state of the box, not null
  * @since 0.2
  */
 public record Membership(ReplicaId replica, int rank, MemberState state) {
-  /** Checks that all parts are there. */
+  /** Creates a membership. */
   public Membership {
     Objects.requireNonNull(replica, "replica");
     Objects.requireNonNull(state, "state");
   }
 
-  /** Returns true if this is the place of the replica's head. */
+  /** Returns true if the box is the head of the replica. */
   public boolean isHead() {
     return rank == 0;
   }
 
-  // Written out: the generated methods are method handles, which cost 20 to 40 ms of processor time
-  // at their first use in a process, and 137 ns a lookup in place of 26 ns with the C1 compiler.
+  // Explicit, because the generated methods use method handles: their first use in a process costs
+  // 20 to 40 ms of CPU time, and a lookup takes 137 ns instead of 26 ns with the C1 compiler.
 
   @Override
   public boolean equals(@Nullable Object other) {
--- a/core/src/main/java/org/shoreroad/fleet/ObservedBox.java
+++ b/core/src/main/java/org/shoreroad/fleet/ObservedBox.java
@@ -4,19 +4,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Observation of one box by the keeper of its domain: the engine's newest status report, and
- * whether the box can be reached.
+ * Observation of one box by the process that forms the replicas of its domain: the newest status
+ * report of the engine, and whether the box can be reached.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param box the box with the newest status report of its engine, not null
- * @param isListed true if the list of upstreams still names the box
- * @param reach whether it answers, not null
- * @param isSteady true if it has not been silent for as long as an engine takes to break a replica
- * @param isConfirmed true if its engine itself said a moment ago where it stands; the list may lag
- * @param isStalled true if it heads a replica whose requests get nothing
- * @param lastModel the model of its last replica in this incarnation, which it joins again almost
- *     at once, or null; an engine that left its replica no longer names it
+ * @param isListed true if the list of upstreams still contains the box
+ * @param reach whether the box answers, not null
+ * @param isSteady true if the box was not silent within the time in which an engine breaks a
+ *     replica that lost a member
+ * @param isConfirmed true if there is a recent report from the engine itself; the list may lag
+ * @param isStalled true if the box is the head of a replica whose requests make no progress
+ * @param lastModel the model of the box's last replica in this incarnation, or null; the box joins
+ *     a replica of this model almost at once, but its engine no longer reports the model after it
+ *     has left
  * @since 0.2
  */
 public record ObservedBox(
@@ -27,13 +29,13 @@
     boolean isConfirmed,
     boolean isStalled,
     @Nullable String lastModel) {
-  /** Checks that the parts are there. */
+  /** Creates an observation. */
   public ObservedBox {
     Objects.requireNonNull(box, "box");
     Objects.requireNonNull(reach, "reach");
   }
 
-  /** Returns true if the box can be part of a replica that is formed now. */
+  /** Returns true if the box can be a member of a replica that is formed now. */
   public boolean isFit() {
     return isListed && !box.isLeaving() && reach == Reach.LIKELY;
   }
@@ -48,13 +50,16 @@
     return !shape.name().equals(lastModel) && !box.stagedModels().contains(shape.name());
   }
 
-  /** Returns true if its host holds nothing but, perhaps, the model that the box held last. */
+  /** Returns true if the host holds no weights other than those of the box's last model. */
   public boolean hasRoomOnHost() {
     return lastModel != null
         && box.stagedModels().stream().allMatch(model -> model.equals(lastModel));
   }
 
-  /** Returns 0 for a box that held the model last, 1 if it lies on its host, 2 if it must load. */
+  /**
+   * Returns the cost of joining a replica of the model: 0 if it is the box's last model, 1 if the
+   * weights are on its host, 2 if they must be loaded from the weight store.
+   */
   public int joinCost(ModelShape shape) {
     if (shape.name().equals(lastModel)) {
       return 0;
@@ -62,17 +67,17 @@
     return isCold(shape) ? 2 : 1;
   }
 
-  /** Returns true if this incarnation of the box is over, so that nothing runs on it any more. */
+  /** Returns true if this incarnation of the box has ended, so that no request runs on it. */
   public boolean isDead() {
     return reach == Reach.GONE;
   }
 
-  /** Returns true if the box can't be relied on to carry a request further. */
+  /** Returns true if the box can't be relied on for requests, because it is silent or dead. */
   public boolean isLost() {
     return reach != Reach.LIKELY;
   }
 
-  /** Returns true if the box is a member of the replica and stands at the state. */
+  /** Returns true if the box is a member of the replica in the state. */
   public boolean isIn(ReplicaId replica, MemberState state) {
     Membership membership = box.membership();
     return membership != null
@@ -80,15 +85,15 @@
         && membership.state() == state;
   }
 
-  /** Whether a box answers when it is asked. */
+  /** Reachability of a box. */
   public enum Reach {
-    /** Nothing speaks against it. */
+    /** Reachable as far as observed. */
     LIKELY,
-    /** It was asked lately and did not answer. */
+    /** The box has not answered a recent request. */
     LOST,
     /**
-     * Dead for certain: another incarnation answers there, or it is off the list and answers
-     * nobody.
+     * Certainly dead: another incarnation answers at its address, or the box is off the list and
+     * answers no process.
      */
     GONE
   }
--- a/core/src/main/java/org/shoreroad/fleet/ObservedReplica.java
+++ b/core/src/main/java/org/shoreroad/fleet/ObservedReplica.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** The members of one replica as they are seen; used by one thread. */
+/** The observed members of one replica. Not thread-safe: used by one thread. */
 final class ObservedReplica {
   private final ReplicaId replica;
   private final Map<Integer, ObservedBox> membersByRank = new LinkedHashMap<>();
@@ -14,7 +14,7 @@
     this.replica = replica;
   }
 
-  /** Returns the replicas that the boxes say they belong to. */
+  /** Returns the replicas of which the boxes report to be members; dead boxes are left out. */
   static Map<ReplicaId, ObservedReplica> from(Collection<ObservedBox> observedBoxes) {
     Map<ReplicaId, ObservedReplica> found = new LinkedHashMap<>();
     for (ObservedBox observed : observedBoxes) {
@@ -41,7 +41,7 @@
     return membersByRank.values();
   }
 
-  /** Returns the model that its members hold, or null if none says. */
+  /** Returns the model that the members report, or null if none does. */
   @Nullable String model() {
     for (ObservedBox member : members()) {
       if (member.box().model() != null) {
--- a/core/src/main/java/org/shoreroad/fleet/ReplicaId.java
+++ b/core/src/main/java/org/shoreroad/fleet/ReplicaId.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Names one formation of a replica; another set of boxes is another formation.
+ * Identity of one formation of a replica. A replica with other boxes is another formation.
  *
  * <p>This class is immutable and thread-safe.
  *
@@ -13,19 +13,19 @@
  * @since 0.2
  */
 public record ReplicaId(String name, long epoch) {
-  /** Stands before the id and before the address of the head in a replica's name. */
+  /** Precedes the id and the address of the head in the name of a replica. */
   private static final String SEPARATOR = "|";
 
-  /** Checks that the name is there. */
+  /** Creates an id. */
   public ReplicaId {
     Objects.requireNonNull(name, "name");
   }
 
   /**
-   * Returns the id of a new formation, whose name tells the head and its address.
+   * Returns the id of a new formation, whose name contains the id and the address of the head.
    *
-   * <p>The members report the name. So a process that never saw the head in the list can ask it all
-   * the same whether it serves, before it lets the members join another replica.
+   * <p>The members report the name. So a process that never observed the head in the list can still
+   * ask it whether it serves, before the members join another replica.
    *
    * @param domain the fabric domain, not null
    * @param model the model, not null
@@ -37,20 +37,20 @@
     return new ReplicaId(name + SEPARATOR + head.id() + SEPARATOR + head.address(), epoch);
   }
 
-  /** Returns the id of the head, or null if the name does not tell it. */
+  /** Returns the id of the head, or null if the name does not contain it. */
   public @Nullable String headId() {
     int end = name.lastIndexOf(SEPARATOR);
     int begin = end < 0 ? -1 : name.lastIndexOf(SEPARATOR, end - 1);
     return begin < 0 ? null : name.substring(begin + 1, end);
   }
 
-  /** Returns the address of the head, or null if the name does not tell it. */
+  /** Returns the address of the head, or null if the name does not contain it. */
   public @Nullable String headAddress() {
     return headId() == null ? null : name.substring(name.lastIndexOf(SEPARATOR) + 1);
   }
 
-  // Written out: the generated methods are method handles, which cost 20 to 40 ms of processor time
-  // at their first use in a process, and 137 ns a lookup in place of 26 ns with the C1 compiler.
+  // Explicit, because the generated methods use method handles: their first use in a process costs
+  // 20 to 40 ms of CPU time, and a lookup takes 137 ns instead of 26 ns with the C1 compiler.
 
   @Override
   public boolean equals(@Nullable Object other) {
--- a/core/src/main/java/org/shoreroad/fleet/package-info.java
+++ b/core/src/main/java/org/shoreroad/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** Boxes, the replicas they form, and the decisions that form, mend and choose replicas. */
+/** Boxes, the replicas that they form, and the planning, forming and replacing of replicas. */
 @NullMarked
 package org.shoreroad.fleet;
 
