--- a/core/src/main/java/org/shoreroad/fleet/HostPreparation.java
+++ b/core/src/main/java/org/shoreroad/fleet/HostPreparation.java
@@ -6,31 +6,33 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Which weights the hosts of a domain's boxes load, so that a box changes models in 1 to 2 seconds
- * in place of 12 to 16. For one thread.
+ * Choice of the weights that the hosts of a domain load in advance. With the weights on its host, a
+ * box changes its model in 1 to 2 s instead of 12 to 16 s. Not thread-safe: used by one thread.
  */
 final class HostPreparation {
   /**
-   * Hosts of a model's boxes are prepared for another one while this part of its places is free.
+   * Boxes of small replicas load another model to their hosts if the pressure of their own model is
+   * below this, so that at least half of its slots are free.
    */
-  private static final double PREPARING_PRESSURE = 0.5;
+  private static final double SPARABLE_PRESSURE = 0.5;
 
-  /** A small model is loaded first if it is at least this part as pressed as the most pressed. */
-  private static final double LOADING_PRESSURE_PART = 0.5;
+  /** A small model is loaded first if its pressure is at least this fraction of the highest one. */
+  private static final double SMALL_FIRST_FRACTION = 0.5;
 
-  private final WeightPrefetch stagings = new WeightPrefetch();
+  private final WeightPrefetch prefetch = new WeightPrefetch();
 
   /**
-   * Returns the loads to order: for what lacks first, then for what is free, then for small
-   * replicas.
+   * Returns the orders to load weights: first for missing replicas, then for free boxes, then for
+   * boxes of small replicas.
    *
    * @param view the domain, not null
    * @param spec the engines of the service, not null
-   * @param models the models that are wanted, the most pressed first, not null
-   * @param demand how pressed they are, not null
-   * @param surplus how many replicas of a model stand beyond those wanted, not null
-   * @param isChanging true if a replica is being formed, so that small replicas are left alone
-   * @param nowNanos the steady clock
+   * @param models the wanted models by falling pressure, not null
+   * @param demand the load of the models, not null
+   * @param surplus returns the number of retained replicas of a model minus the wanted ones, not
+   *     null
+   * @param isForming true if a replica is being formed, so that boxes in replicas load nothing
+   * @param nowNanos the time on the steady clock, in nanoseconds
    */
   List<BoxOrder> prepare(
       DomainView view,
@@ -38,7 +40,7 @@
       List<ModelShape> models,
       Demand demand,
       ToIntFunction<ModelShape> surplus,
-      boolean isChanging,
+      boolean isForming,
       long nowNanos) {
     List<BoxOrder> orders = new ArrayList<>();
     if (models.isEmpty()) {
@@ -48,7 +50,7 @@
         view.retained().isEmpty()
             || !demand.hasTraffic()
             || models.stream().anyMatch(model -> demand.replicaCount(model.name()) == 0);
-    stagings.update(spec, view.observedById(), isUrgent, nowNanos);
+    prefetch.update(spec, view.observedById(), isUrgent, nowNanos);
     for (ModelShape model : models) {
       if (surplus.applyAsInt(model) < 0) {
         view.pickMembers(model).forEach(observed -> stage(observed, model, orders, nowNanos));
@@ -58,11 +60,11 @@
       if (observed.isBlank()) {
         stage(observed, firstToLoad(models, demand), orders, nowNanos);
       } else if (observed.hasRoomOnHost() && !isUrgent) {
-        // A spare that held one model last and has another on its host fits either replica.
+        // A spare box with one last model and another one on its host can join either replica.
         stageOther(observed, models, orders, nowNanos);
       }
     }
-    if (!isChanging && !view.isDissolving()) {
+    if (!isForming && !view.isDissolving()) {
       for (ObservedBox observed : view.observedBoxes()) {
         if (observed.isFit()
             && (!demand.hasTraffic() || isSparable(observed, spec, models, demand))) {
@@ -74,19 +76,23 @@
   }
 
   /**
-   * Returns the model that boxes without weights load first: the one with the smallest replicas,
-   * which can serve soonest as boxes load one after the other, unless another is pressed far more.
+   * Returns the model that boxes without weights load first. This is the one with the smallest
+   * replicas, unless the pressure of another is far higher: boxes load one after the other, so a
+   * small replica can serve soonest.
    */
   private static ModelShape firstToLoad(List<ModelShape> models, Demand demand) {
-    ModelShape pressed = models.get(0);
-    double least = LOADING_PRESSURE_PART * demand.pressure(pressed.name());
+    ModelShape mostPressed = models.get(0);
+    double minPressure = SMALL_FIRST_FRACTION * demand.pressure(mostPressed.name());
     return models.stream()
-        .filter(model -> demand.pressure(model.name()) >= least)
+        .filter(model -> demand.pressure(model.name()) >= minPressure)
         .min(Comparator.comparingInt(ModelShape::boxes))
-        .orElse(pressed);
+        .orElse(mostPressed);
   }
 
-  /** Returns true if the box serves in a small replica whose model needs it less than another. */
+  /**
+   * Returns true if the box serves in a replica of the smallest model and the pressure of that
+   * model is low, or lower than that of another model whose weights the box lacks.
+   */
   private static boolean isSparable(
       ObservedBox observed, EngineSpec spec, List<ModelShape> models, Demand demand) {
     double pressure = demand.pressure(observed.box().model());
@@ -96,7 +102,7 @@
             .findFirst()
             .filter(other -> pressure < demand.pressure(other.name()))
             .isPresent();
-    return isSmall(observed.box(), spec) && (pressure < PREPARING_PRESSURE || isPressedLess);
+    return isSmall(observed.box(), spec) && (pressure < SPARABLE_PRESSURE || isPressedLess);
   }
 
   /** Returns true if the box serves in a replica of the smallest model. */
@@ -107,7 +113,7 @@
         .isPresent();
   }
 
-  /** Loads the most pressed model that the box does not have at hand. */
+  /** Orders the load of the first model whose weights are not available locally. */
   private void stageOther(
       ObservedBox observed, List<ModelShape> models, List<BoxOrder> orders, long nowNanos) {
     models.stream()
@@ -117,13 +123,13 @@
   }
 
   private void stage(ObservedBox observed, ModelShape model, List<BoxOrder> orders, long nowNanos) {
-    if (stagings.tryBegin(observed, model, nowNanos)) {
-      orders.add(BoxOrder.stage(observed.box().id(), model.name(), "to be at hand for a loss"));
+    if (prefetch.tryBegin(observed, model, nowNanos)) {
+      orders.add(BoxOrder.stage(observed.box().id(), model.name(), "prepares for a loss"));
     }
   }
 
-  /** Forgets the load to a host that has started again. */
+  /** Removes the load to the host of a box that has restarted. */
   void forget(String boxId) {
-    stagings.forget(boxId);
+    prefetch.forget(boxId);
   }
 }
--- a/core/src/main/java/org/shoreroad/fleet/SpareWarmup.java
+++ b/core/src/main/java/org/shoreroad/fleet/SpareWarmup.java
@@ -7,14 +7,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * Warm-up of spare boxes: each joins a replica of its own once, which is never opened.
+ * Warm-up of spare boxes: each joins once a replica of which it is the only member. The replica is
+ * never opened.
  *
- * <p>A box joins a replica of the model that it held last almost at once. Without the warm-up it
- * would first take the weights from its host. Used by one thread.
+ * <p>A box joins a replica of its last model almost at once. Without the warm-up it would first
+ * load the weights from its host. Not thread-safe: used by one thread.
  */
 final class SpareWarmup {
-  /** Spare boxes of a domain that take weights at a time; the others are at hand for a loss. */
-  private static final int AT_ONCE = 1;
+  /**
+   * Maximum number of concurrent warm-ups in a domain. The other spare boxes can replace a loss.
+   */
+  private static final int MAX_CONCURRENT = 1;
 
   private final String domain;
   private final LongSupplier epochs;
@@ -23,20 +26,20 @@
   /**
    * Creates a tracker with no warm-up in progress.
    *
-   * @param domain the domain's name
-   * @param epochs gives a number higher than any given before
+   * @param domain the name of the domain, not null
+   * @param epochs returns a number higher than any returned before, in any process, not null
    */
   SpareWarmup(String domain, LongSupplier epochs) {
     this.domain = domain;
     this.epochs = epochs;
   }
 
-  /** Forgets what began before the time: it is done or lost. */
+  /** Removes the warm-ups that began before the time: they are complete or lost. */
   void forgetOlder(long beforeNanos) {
     sinceNanos.values().removeIf(since -> since < beforeNanos);
   }
 
-  /** Returns true if this is a spare box that is taking weights; then it is left alone. */
+  /** Returns true if the replica is a warm-up in progress, which must not be dissolved. */
   boolean isUnderWay(ObservedReplica replica) {
     ObservedBox head = replica.head();
     return sinceNanos.containsKey(replica.replica())
@@ -45,28 +48,32 @@
   }
 
   /**
-   * Returns the orders to free boxes that did not hold the model last that most boxes of the domain
-   * serve. A lost box most likely belongs to that model, and a spare that held it last joins in 0.2
-   * s, one that has it on its host only in 1.1 to 1.6 s.
+   * Returns the orders that begin warm-ups of free boxes, so that their last model becomes the one
+   * that most boxes of the domain serve. A lost box most likely served that model. A spare box
+   * joins in 0.2 s if it is its last model, but in 1.1 to 1.6 s if the weights are only on its
+   * host.
    *
-   * @param free the boxes that no replica has
-   * @param models the models, the one that most boxes of the domain serve first
-   * @param nowNanos the steady clock
+   * @param free the free boxes, not null
+   * @param models the models by falling number of boxes of the domain that serve them, not null
+   * @param nowNanos the time on the steady clock, in nanoseconds
    */
   List<BoxOrder> begin(List<ObservedBox> free, List<ModelShape> models, long nowNanos) {
     List<BoxOrder> orders = new ArrayList<>();
     for (ObservedBox observed : free) {
-      ModelShape atHand = models.stream().filter(m -> !observed.isCold(m)).findFirst().orElse(null);
+      ModelShape localModel =
+          models.stream().filter(m -> !observed.isCold(m)).findFirst().orElse(null);
       boolean isWanted =
-          atHand != null
+          localModel != null
               && observed.box().membership() == null
-              && !atHand.name().equals(observed.lastModel());
-      if (isWanted && sinceNanos.size() < AT_ONCE) {
+              && !localModel.name().equals(observed.lastModel());
+      if (isWanted && sinceNanos.size() < MAX_CONCURRENT) {
         long epoch = epochs.getAsLong();
-        ReplicaId alone = new ReplicaId(domain + "-spare-" + epoch, epoch);
-        sinceNanos.put(alone, nowNanos);
+        ReplicaId warmupReplica = new ReplicaId(domain + "-spare-" + epoch, epoch);
+        sinceNanos.put(warmupReplica, nowNanos);
         String id = observed.box().id();
-        orders.add(BoxOrder.join(id, alone, atHand.name(), List.of(id), "to be warm"));
+        orders.add(
+            BoxOrder.join(
+                id, warmupReplica, localModel.name(), List.of(id), "warm-up of a spare box"));
       }
     }
     return orders;
--- a/core/src/main/java/org/shoreroad/fleet/WeightPrefetch.java
+++ b/core/src/main/java/org/shoreroad/fleet/WeightPrefetch.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 
 /**
- * Prefetch of weights to the hosts of a domain. Few loads run at a time, because concurrent loads
- * slow each other down. Used by one thread.
+ * Prefetch of weights to the hosts of a domain. Few loads run concurrently, because they slow each
+ * other down. Not thread-safe: used by one thread.
  */
 final class WeightPrefetch {
-  /** Of the loads that run at full speed at a time, a domain takes this part. */
-  private static final int USUAL_DIVISOR = 4;
+  /** Divisor of {@link EngineSpec#loadsAtOnce()} that yields the limit of one domain. */
+  private static final int NORMAL_DIVISOR = 4;
 
-  /** The part that it takes while none of its replicas stands, or before the first request. */
+  /** The same while the domain or a model has no replica, or before the first request. */
   private static final int URGENT_DIVISOR = 2;
 
-  /** A load that has not shown after this many times its length is taken as lost. */
-  private static final double LOST_AFTER_LENGTHS = 2;
+  /** A load without visible effect after this many load times of its model counts as lost. */
+  private static final double LOST_AFTER_LOAD_TIMES = 2;
 
   private final Map<String, Staging> running = new HashMap<>();
-  private int atOnce;
+  private int maxConcurrent;
 
-  /** Forgets what has ended and sets how many may run. */
+  /** Removes the loads that have ended and sets the limit of concurrent loads. */
   void update(
       EngineSpec spec, Map<String, ObservedBox> observedById, boolean isUrgent, long nowNanos) {
-    atOnce = Math.max(1, spec.loadsAtOnce() / (isUrgent ? URGENT_DIVISOR : USUAL_DIVISOR));
+    maxConcurrent = Math.max(1, spec.loadsAtOnce() / (isUrgent ? URGENT_DIVISOR : NORMAL_DIVISOR));
     running
         .entrySet()
         .removeIf(
@@ -35,26 +35,28 @@
             });
   }
 
-  /** Returns true if the load may begin now, and counts it. */
+  /** Returns true if the load may begin now, and then records it as running. */
   boolean tryBegin(ObservedBox observed, ModelShape model, long nowNanos) {
     String id = observed.box().id();
-    if (running.size() >= atOnce || running.containsKey(id) || !observed.isCold(model)) {
+    if (running.size() >= maxConcurrent || running.containsKey(id) || !observed.isCold(model)) {
       return false;
     }
     running.put(id, new Staging(model, nowNanos));
     return true;
   }
 
-  /** Forgets the load to a host that has started again. */
+  /** Removes the load to the host of a box that has restarted. */
   void forget(String boxId) {
     running.remove(boxId);
   }
 
   /** A load to a host. */
   private record Staging(ModelShape model, long sinceNanos) {
-    /** Returns true if it has shown, or has taken so long that it must be lost. */
+    /**
+     * Returns true if the weights are on the host, or the load has taken so long that it is lost.
+     */
     boolean isOver(ObservedBox observed, long nowNanos) {
-      double limitNanos = LOST_AFTER_LENGTHS * model.loadSeconds() * 1e9;
+      double limitNanos = LOST_AFTER_LOAD_TIMES * model.loadSeconds() * 1e9;
       return !observed.isCold(model) || nowNanos - sinceNanos > limitNanos;
     }
   }
