--- a/core/src/main/java/org/shoreroad/fleet/Demand.java
+++ b/core/src/main/java/org/shoreroad/fleet/Demand.java
@@ -4,35 +4,36 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How pressed the models of a service are, over all domains and processes.
+ * Load of the models of a service, over all domains and processes. The pressure of a model is the
+ * number of requests open at its replicas, divided by the number of their slots.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param pressures the requests open at each model's replicas, for each of their places
- * @param replicas the replicas of each model that take requests
- * @param hasTraffic true once a request was seen: loads before the first are quick
+ * @param pressures the pressure of each model
+ * @param replicas the number of replicas of each model that take requests
+ * @param hasTraffic true once a request was observed; loads before the first one are fast
  * @since 0.2
  */
 public record Demand(
     Map<String, Double> pressures, Map<String, Integer> replicas, boolean hasTraffic) {
-  /** The pressure of a model without any replica: more than any that has one. */
+  /** Pressure of a model without replicas: higher than that of any model with one. */
   public static final double NO_REPLICA_PRESSURE = 1_000;
 
-  /** Nothing asked for yet. */
+  /** Demand before the first request. */
   public static final Demand NONE = new Demand(Map.of(), Map.of(), false);
 
-  /** Copies the maps. */
+  /** Creates a demand with copies of the maps. */
   public Demand {
     pressures = Map.copyOf(pressures);
     replicas = Map.copyOf(replicas);
   }
 
-  /** Returns the requests open at the model's replicas for each of their places, 0 if unknown. */
+  /** Returns the pressure of the model, or 0 if unknown. */
   public double pressure(@Nullable String model) {
     return model == null ? 0 : pressures.getOrDefault(model, 0.0);
   }
 
-  /** Returns the replicas of the model that take requests, 0 if unknown. */
+  /** Returns the number of replicas of the model that take requests, or 0 if unknown. */
   public int replicaCount(String model) {
     return replicas.getOrDefault(model, 0);
   }
--- a/core/src/main/java/org/shoreroad/fleet/EngineSpec.java
+++ b/core/src/main/java/org/shoreroad/fleet/EngineSpec.java
@@ -4,22 +4,23 @@
 import java.util.Optional;
 
 /**
- * The figures by which the engines of a service work.
+ * Performance figures of the engines of a service.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param slots the requests that a replica runs at once
- * @param kvCapacityTokens the tokens that a replica's memory holds
+ * @param slots the number of requests that a replica runs concurrently
+ * @param kvCapacityTokens the capacity of a replica's key-value cache, in tokens
  * @param stepMs the time of one token step, in milliseconds
- * @param perSequenceMs what each running request adds to a step, in milliseconds
- * @param contextMsPerKiloToken what 1,000 tokens of context add to a step, in milliseconds
- * @param promptTokensPerSecond how fast prompts are read
- * @param chunkTokens the most prompt tokens read in one step
- * @param stepsPerPass the steps between two looks at what waits
- * @param loadsPerSecond the loads from the weight store that may begin in a second, in all
- * @param loadsAtOnce the loads that may run at a time at full speed, in all
- * @param reportLagMs how old the state is that an engine reports, in milliseconds
- * @param models the models, with what a replica of each needs
+ * @param perSequenceMs the time that each running request adds to a step, in milliseconds
+ * @param contextMsPerKiloToken the time that 1,000 tokens of context add to a step, in milliseconds
+ * @param promptTokensPerSecond the rate at which prompts are processed, in tokens per second
+ * @param chunkTokens the maximum number of prompt tokens processed in one step
+ * @param stepsPerPass the number of steps between two checks for waiting requests
+ * @param loadsPerSecond the number of loads from the weight store that may begin in a second, over
+ *     all boxes
+ * @param loadsAtOnce the number of loads that may run concurrently at full speed, over all boxes
+ * @param reportLagMs the age of the state that an engine reports, in milliseconds
+ * @param models the models of the service
  * @since 0.2
  */
 public record EngineSpec(
@@ -35,12 +36,12 @@
     int loadsAtOnce,
     int reportLagMs,
     List<ModelShape> models) {
-  /** Copies the list. */
+  /** Creates a specification with a copy of the list. */
   public EngineSpec {
     models = List.copyOf(models);
   }
 
-  /** Returns the shape of the model, or empty if it is not declared. */
+  /** Returns the model of the name, or empty if it is not declared. */
   public Optional<ModelShape> findModel(String name) {
     for (ModelShape model : models) {
       if (model.name().equals(name)) {
@@ -51,11 +52,11 @@
   }
 
   /**
-   * Returns how long one pass takes with what runs and waits.
+   * Returns the time of one pass, which is the time between two checks for waiting requests.
    *
-   * @param model the model that runs
-   * @param running the requests that run
-   * @param waitingPromptTokens the tokens of prompts that wait to be read
+   * @param model the model, not null
+   * @param running the number of running requests
+   * @param waitingPromptTokens the number of prompt tokens that wait to be processed
    * @return the time in milliseconds
    */
   public double passMs(ModelShape model, int running, long waitingPromptTokens) {
--- a/core/src/main/java/org/shoreroad/fleet/ModelShape.java
+++ b/core/src/main/java/org/shoreroad/fleet/ModelShape.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * What a replica of one model needs.
+ * Size and load times of the replicas of one model.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param name the model's name, not null
  * @param boxes the number of boxes that a replica spans, at least 1
- * @param share the part of the boxes that the model's load takes, from 0 to 1
- * @param paceFactor the factor on all times of the engine
+ * @param share the share of all boxes that the model needs for its load, from 0 to 1
+ * @param paceFactor the factor for all times of the engine
  * @param loadSeconds the time to load the weights from the weight store, in seconds
  * @param warmSeconds the time to load the weights from the box's own host, in seconds
  * @since 0.2
@@ -22,11 +22,15 @@
     double paceFactor,
     double loadSeconds,
     double warmSeconds) {
-  /** Checks the name and the number. */
+  /**
+   * Creates a model.
+   *
+   * @throws IllegalArgumentException if a replica has no box
+   */
   public ModelShape {
     Objects.requireNonNull(name, "name");
     if (boxes < 1) {
-      throw new IllegalArgumentException("model " + name + " spans no box");
+      throw new IllegalArgumentException("model " + name + " needs at least one box per replica");
     }
   }
 }
--- a/core/src/main/java/org/shoreroad/fleet/ReplicaConversion.java
+++ b/core/src/main/java/org/shoreroad/fleet/ReplicaConversion.java
@@ -9,75 +9,87 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which standing replicas of a domain are closed so that their boxes, together with what is free,
- * relieve the most pressed model.
+ * Choice of the replicas of a domain that are closed so that their boxes, together with the
+ * available ones, reduce the highest pressure of any model.
  *
- * <p>That costs the callers of a closed replica a move, and its boxes serve nobody for two to three
- * seconds. So it is done only when boxes have just come free, most often after a loss, and must be
- * put to use anyway, or when a model has no replica left or stays under high pressure beside
- * another that has places: such a model would refuse requests for as long as the load lasts. For
- * one thread.
+ * <p>The callers of a closed replica must move to another one, and its boxes serve no requests for
+ * 2 to 3 s. So replicas are closed only in two cases. Either boxes have just become available,
+ * mostly after a loss, and must be used anyway. Or a model has no replica, or stays under high
+ * pressure while another has free slots: it would refuse requests for as long as the load lasts.
+ * Not thread-safe: used by one thread.
  */
 final class ReplicaConversion {
-  /** The least that the worst pressure must fall for a replica to be closed. */
-  private static final double LEAST_GAIN = 0.05;
+  /**
+   * Minimum reduction of the highest pressure that justifies closing a replica when boxes have
+   * become available.
+   */
+  private static final double MIN_GAIN_WITH_AVAILABLE = 0.05;
 
-  /** Where no boxes have come free, replicas are closed for a model that is pressed this much. */
+  /** Without newly available boxes, replicas are closed only for a pressure of at least this. */
   private static final double HIGH_PRESSURE = 0.8;
 
   /**
-   * Minimum reduction of the highest pressure that justifies closing a replica for a pressed model.
+   * Minimum reduction of the highest pressure that justifies closing a replica without newly
+   * available boxes.
    */
-  private static final double CLEAR_GAIN = 0.2;
+  private static final double MIN_GAIN = 0.2;
 
-  /** Domains see the same pressure, so each acts on it only in a second of its own out of these. */
+  /**
+   * Number of one-second turns. All domains observe the same pressure, so each acts on it only in
+   * its own turn.
+   */
   private static final int TURNS = 8;
 
   private static final long TURN_NANOS = 1_000_000_000L;
 
-  /** Closing, joining and opening take two to three seconds; the load needs as long to follow. */
+  /**
+   * Minimum time between two conversions. Closing, joining and opening take 2 to 3 s, and the load
+   * needs the same time to adapt.
+   */
   private static final long INTERVAL_NANOS = 6_000_000_000L;
 
   private final String domain;
-  private @Nullable Set<String> formerlyAvailableIds;
+  private @Nullable Set<String> previouslyAvailableIds;
   private long convertedNanos = Long.MIN_VALUE / 2;
 
-  /** Creates a conversion for the domain that has closed nothing. */
+  /** Creates a conversion for the domain that has closed no replica yet. */
   ReplicaConversion(String domain) {
     this.domain = domain;
   }
 
   /**
-   * Returns the replicas to close, none, one or two.
+   * Returns the replicas to close: none, one or two.
    *
    * @param view the domain, not null
-   * @param packing what free boxes do best, not null
-   * @param wanted the replicas that stand or are to be formed without any closing, not null
-   * @param givable the open replicas, not null
-   * @param nowNanos the steady clock
+   * @param packing the packing of the domain, not null
+   * @param wanted the number of replicas of each model that are retained or will be formed if none
+   *     is closed, not null
+   * @param closable the open replicas, not null
+   * @param nowNanos the time on the steady clock, in nanoseconds
    */
   List<ObservedReplica> choose(
       DomainView view,
       DomainPacking packing,
       Map<String, Integer> wanted,
-      List<ObservedReplica> givable,
+      List<ObservedReplica> closable,
       long nowNanos) {
     boolean isTooSoon = nowNanos - convertedNanos < INTERVAL_NANOS;
-    double before = packing.worstPressure(wanted, Map.of());
-    boolean isUnserved = before >= Demand.NO_REPLICA_PRESSURE;
-    boolean hasMore = noteAvailable(view);
-    boolean isMyTurn = (nowNanos / TURN_NANOS + domain.hashCode()) % TURNS == 0;
-    boolean isPressed = before >= HIGH_PRESSURE && isMyTurn;
-    if (isTooSoon || !(hasMore || isUnserved || isPressed)) {
+    double pressureBefore = packing.highestPressure(wanted, Map.of());
+    boolean isUnserved = pressureBefore >= Demand.NO_REPLICA_PRESSURE;
+    boolean hasNewlyAvailable = updateAvailable(view);
+    boolean isOwnTurn = (nowNanos / TURN_NANOS + domain.hashCode()) % TURNS == 0;
+    boolean isUnderPressure = pressureBefore >= HIGH_PRESSURE && isOwnTurn;
+    if (isTooSoon || !(hasNewlyAvailable || isUnserved || isUnderPressure)) {
       return List.of();
     }
     List<ObservedReplica> best = List.of();
-    double least = before - (hasMore ? LEAST_GAIN : CLEAR_GAIN);
-    for (List<ObservedReplica> closed : oneOrTwoOf(givable)) {
-      double after = pressureWithout(closed, view, packing);
-      if (after < least) {
+    double lowestPressure =
+        pressureBefore - (hasNewlyAvailable ? MIN_GAIN_WITH_AVAILABLE : MIN_GAIN);
+    for (List<ObservedReplica> closed : oneOrTwoOf(closable)) {
+      double pressureAfter = pressureWithout(closed, view, packing);
+      if (pressureAfter < lowestPressure) {
         best = closed;
-        least = after;
+        lowestPressure = pressureAfter;
       }
     }
     if (!best.isEmpty()) {
@@ -86,15 +98,15 @@
     return best;
   }
 
-  /** Returns true if boxes have come free since the last call. */
-  private boolean noteAvailable(DomainView view) {
+  /** Returns true if boxes have become available since the last call. */
+  private boolean updateAvailable(DomainView view) {
     Set<String> availableIds = new HashSet<>();
     view.available().forEach(observed -> availableIds.add(observed.box().id()));
-    // A new keeper finds idle boxes that came free long ago.
-    boolean hasMore =
-        formerlyAvailableIds != null && !formerlyAvailableIds.containsAll(availableIds);
-    formerlyAvailableIds = availableIds;
-    return hasMore;
+    // The boxes found by the first call may have been available for a long time.
+    boolean hasNewlyAvailable =
+        previouslyAvailableIds != null && !previouslyAvailableIds.containsAll(availableIds);
+    previouslyAvailableIds = availableIds;
+    return hasNewlyAvailable;
   }
 
   private static List<List<ObservedReplica>> oneOrTwoOf(List<ObservedReplica> replicas) {
@@ -108,15 +120,15 @@
     return choices;
   }
 
-  /** Returns the worst pressure if the boxes of replicas, and what is free, form what is best. */
+  /** Returns the highest pressure with the best packing of the available and the closed boxes. */
   private static double pressureWithout(
       List<ObservedReplica> closed, DomainView view, DomainPacking packing) {
-    Map<String, Integer> rest = new HashMap<>(view.retained());
+    Map<String, Integer> remaining = new HashMap<>(view.retained());
     List<ObservedBox> boxes = view.available();
     for (ObservedReplica replica : closed) {
-      rest.merge(String.valueOf(replica.model()), -1, Integer::sum);
+      remaining.merge(String.valueOf(replica.model()), -1, Integer::sum);
       boxes.addAll(replica.members());
     }
-    return packing.worstPressure(rest, packing.fill(boxes, rest));
+    return packing.highestPressure(remaining, packing.fill(boxes, remaining));
   }
 }
--- a/core/src/main/java/org/shoreroad/fleet/ReplicaPlan.java
+++ b/core/src/main/java/org/shoreroad/fleet/ReplicaPlan.java
@@ -12,20 +12,23 @@
 import java.util.TreeMap;
 
 /**
- * How many replicas of each model every domain is to hold.
+ * Planned number of replicas of each model in every domain.
  *
- * <p>Every process derives the same plan from the same list. Of a large domain a quarter of the
- * boxes is a reserve: it serves in small replicas that give way as soon as a wanted one lacks a
- * box. A small domain has nothing to spare. This class is immutable and thread-safe.
+ * <p>Every process derives the same plan from the same list. In a large domain a quarter of the
+ * boxes is a reserve: these boxes serve in small replicas, which are closed as soon as a planned
+ * replica lacks a box. A small domain has no boxes for a reserve. This class is immutable and
+ * thread-safe.
  *
  * @since 0.2
  */
 public final class ReplicaPlan {
-  /** From this many boxes on, a domain keeps a reserve. */
-  private static final int RESERVE_FROM_BOXES = 8;
+  /** Minimum number of boxes of a domain with a reserve. */
+  private static final int MIN_BOXES_WITH_RESERVE = 8;
 
-  /** One box in this many belongs to the reserve: enough for two losses before new boxes come. */
-  private static final int BOXES_PER_RESERVE = 4;
+  /**
+   * One box in this many belongs to the reserve: enough for two losses until boxes are replaced.
+   */
+  private static final int BOXES_PER_RESERVE_BOX = 4;
 
   private final Map<String, Map<String, Integer>> wantedByDomain;
 
@@ -37,28 +40,29 @@
    * Returns the plan for a service.
    *
    * @param spec the engines of the service, not null
-   * @param boxesByDomain how many boxes each domain has, not null
+   * @param boxesByDomain the number of boxes of each domain, not null
    * @return the plan
    */
   public static ReplicaPlan of(EngineSpec spec, Map<String, Integer> boxesByDomain) {
     Map<String, Integer> boxesUsed = new HashMap<>();
-    Set<String> wantedOf = new HashSet<>();
+    Set<String> plannedModels = new HashSet<>();
     Map<String, Map<String, Integer>> wanted = new LinkedHashMap<>();
-    // The order of the names makes every process fill the domains alike.
+    // Sorted by name, so that every process derives the same plan.
     new TreeMap<>(boxesByDomain)
-        .forEach((domain, boxes) -> wanted.put(domain, fill(spec, boxes, boxesUsed, wantedOf)));
+        .forEach(
+            (domain, boxes) -> wanted.put(domain, fill(spec, boxes, boxesUsed, plannedModels)));
     return new ReplicaPlan(wanted);
   }
 
-  /** Returns how many replicas of the model the domain is to hold. */
+  /** Returns the planned number of replicas of the model in the domain. */
   public int wanted(String domain, String model) {
     return wantedByDomain.getOrDefault(domain, Map.of()).getOrDefault(model, 0);
   }
 
-  /** Chooses what a domain holds so that the models' shares of all boxes come out best. */
+  /** Returns the packing of a domain that best approaches the models' shares of all boxes. */
   private static Map<String, Integer> fill(
-      EngineSpec spec, int boxes, Map<String, Integer> boxesUsed, Set<String> wantedOf) {
-    int reserve = boxes >= RESERVE_FROM_BOXES ? boxes / BOXES_PER_RESERVE : 0;
+      EngineSpec spec, int boxes, Map<String, Integer> boxesUsed, Set<String> plannedModels) {
+    int reserve = boxes >= MIN_BOXES_WITH_RESERVE ? boxes / BOXES_PER_RESERVE_BOX : 0;
     List<ModelShape> models =
         spec.models().stream()
             .filter(model -> model.share() > 0 && model.boxes() <= boxes)
@@ -66,37 +70,38 @@
     if (models.isEmpty()) {
       return Map.of();
     }
-    // The reserve serves the smallest model, so it counts for its share.
+    // The reserve serves the smallest model, so it counts towards the share of that model.
     ModelShape smallest = Collections.min(models, Comparator.comparingInt(ModelShape::boxes));
     boxesUsed.merge(smallest.name(), reserve, Integer::sum);
     List<Map<String, Integer>> packings = packings(models, boxes - reserve);
     Map<String, Integer> best =
         Collections.min(
             packings,
-            // No model lives in the reserve alone, which gives way to others.
-            Comparator.comparingInt((Map<String, Integer> packing) -> -countNew(packing, wantedOf))
+            // No model is served by the reserve alone, because its replicas may be closed.
+            Comparator.comparingInt(
+                    (Map<String, Integer> packing) -> -countNew(packing, plannedModels))
                 .thenComparingDouble(packing -> imbalance(models, packing, boxesUsed))
                 .thenComparingInt(packing -> -usedBoxes(models, packing)));
     for (ModelShape model : models) {
       boxesUsed.merge(
           model.name(), best.getOrDefault(model.name(), 0) * model.boxes(), Integer::sum);
     }
-    wantedOf.addAll(best.keySet());
+    plannedModels.addAll(best.keySet());
     return best;
   }
 
-  private static int countNew(Map<String, Integer> packing, Set<String> wantedOf) {
-    return (int) packing.keySet().stream().filter(model -> !wantedOf.contains(model)).count();
+  private static int countNew(Map<String, Integer> packing, Set<String> plannedModels) {
+    return (int) packing.keySet().stream().filter(model -> !plannedModels.contains(model)).count();
   }
 
-  /** Returns each way to fill the boxes with replicas until nothing more fits. */
+  /** Returns each way to fill the boxes with replicas until no other one fits. */
   static List<Map<String, Integer>> packings(List<ModelShape> models, int boxes) {
     List<Map<String, Integer>> packings = new ArrayList<>();
     pack(models, 0, boxes, Map.of(), packings);
     return packings;
   }
 
-  /** Adds each way to fill the boxes, with models from the given one on, until nothing fits. */
+  /** Adds each way to fill the boxes with models from the first index on until none fits. */
   private static void pack(
       List<ModelShape> models,
       int first,
@@ -111,13 +116,13 @@
       if (model.boxes() <= left) {
         Map<String, Integer> next = new HashMap<>(counts);
         next.merge(model.name(), 1, Integer::sum);
-        // Models before this one are not added any more, so that each combination comes once.
+        // Earlier models are not added again, so that each combination occurs once.
         pack(models, i, left - model.boxes(), next, packings);
       }
     }
   }
 
-  /** Returns how far the fullest model is ahead of the emptiest, in boxes for each share. */
+  /** Returns the difference between the highest and the lowest fill level, in boxes per share. */
   private static double imbalance(
       List<ModelShape> models, Map<String, Integer> packing, Map<String, Integer> boxesUsed) {
     double least = Double.MAX_VALUE;
--- a/core/src/test/java/org/shoreroad/fleet/DomainPackingTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/DomainPackingTest.java
@@ -48,17 +48,17 @@
   @Test
   void thePressureFallsAsReplicasAreAdded() {
     DomainPacking packing = packing(0.6, 0.1);
-    assertThat(packing.worstPressure(Map.of(), Map.of()), is(closeTo(0.6, 1e-9)));
-    assertThat(packing.worstPressure(Map.of("large", 1), Map.of()), is(closeTo(0.48, 1e-9)));
+    assertThat(packing.highestPressure(Map.of(), Map.of()), is(closeTo(0.6, 1e-9)));
+    assertThat(packing.highestPressure(Map.of("large", 1), Map.of()), is(closeTo(0.48, 1e-9)));
     assertThat(
-        packing.worstPressure(Map.of("large", 1), Map.of("large", 1)), is(closeTo(0.4, 1e-9)));
+        packing.highestPressure(Map.of("large", 1), Map.of("large", 1)), is(closeTo(0.4, 1e-9)));
   }
 
   @Test
   void aModelWithoutReplicaIsPressedMoreThanAnyOther() {
     Demand demand = new Demand(Map.of("small", 5.0), Map.of("small", 1), true);
     DomainPacking packing = DomainPacking.of(List.of(LARGE, SMALL), demand, List.of());
-    assertThat(packing.worstPressure(Map.of(), Map.of()), is(greaterThan(100.0)));
+    assertThat(packing.highestPressure(Map.of(), Map.of()), is(greaterThan(100.0)));
     assertThat(packing.fill(boxes(4, "large", "small"), Map.of()), is(Map.of("large", 1)));
   }
 }
