--- a/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/DomainReconcilerTest.java
@@ -18,7 +18,7 @@
 class DomainReconcilerTest {
   private static final int BOXES = 8;
 
-  /** Every host is prepared by then, one load after the other. */
+  /** Covers the loads to all hosts one after the other. */
   private static final double SETTLE_SECONDS = 120;
 
   private final EngineSpec spec = FakeDomain.spec();
@@ -28,9 +28,9 @@
   private final List<BoxOrder> given = new ArrayList<>();
   private Demand demand = Demand.NONE;
   private long epoch;
-  private DomainReconciler keeper = newKeeper();
+  private DomainReconciler reconciler = newReconciler();
 
-  private DomainReconciler newKeeper() {
+  private DomainReconciler newReconciler() {
     return new DomainReconciler("d", ReconcilerTiming.DEFAULT, () -> ++epoch);
   }
 
@@ -56,16 +56,16 @@
           (int) observedBoxes.stream().filter(s -> s.isListed() && !s.box().isLeaving()).count();
       ReplicaPlan plan = ReplicaPlan.of(spec, Map.of("d", fit));
       for (BoxOrder order :
-          keeper.decide(domain.nowNanos(), spec, observedBoxes, plan, headsSeen, demandNow())) {
+          reconciler.decide(domain.nowNanos(), spec, observedBoxes, plan, headsSeen, demandNow())) {
         given.add(order);
         if (domain.give(order)) {
-          keeper.recordAccepted(order, domain.nowNanos());
+          reconciler.recordAccepted(order, domain.nowNanos());
         }
       }
     }
   }
 
-  /** Returns the demand with the replicas that stand; a model without one is pressed beyond all. */
+  /** Returns the demand with the open replicas. A model without one has a pressure of 1,000. */
   private Demand demandNow() {
     Map<String, Double> pressures = new HashMap<>(demand.pressures());
     Map<String, Integer> replicas = new HashMap<>();
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void formsWhatThePlanWantsAndLetsTheReserveServe() {
+  void plannedReplicasAndReserveAreFormed() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     assertThat(domain.countOpen("large"), is(1L));
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void givesNoOrderWhileAllStands() {
+  void noOrderIsGivenToACompleteDomain() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     given.clear();
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void mendsAReplicaThatLostAMember() {
+  void replicaThatLostAMemberIsReplaced() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     domain.kill(memberOf("large"));
@@ -127,12 +127,12 @@
   }
 
   @Test
-  void keepsMembersBoundUntilASilentHeadIsDeadForCertain() {
+  void membersOfASilentHeadGetNoOrdersUntilItIsCertainlyDead() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     String head = headOf("large");
     ReplicaId replica = domain.openReplicaOf(head);
-    domain.cut(head, true);
+    domain.disconnect(head, true);
     given.clear();
     run(4);
     Set<String> members = new HashSet<>();
@@ -150,21 +150,21 @@
   }
 
   @Test
-  void closesAHeadThatIsOffTheListButAnswers() {
+  void replicaOfAnUnlistedHeadThatAnswersIsReplaced() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
-    domain.cut(headOf("small"), false);
+    domain.disconnect(headOf("small"), false);
     run(20);
     assertThat(domain.countOpen("small"), is(greaterThanOrEqualTo(1L)));
     assertThat(domain.violations(), is(empty()));
   }
 
   @Test
-  void replacesALeavingMemberAfterItsWork() {
+  void leavingMemberIsReplacedAfterItsRequestsFinish() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     String leaving = memberOf("large");
-    domain.leaveSoon(leaving);
+    domain.announceLeaving(leaving);
     given.clear();
     run(10);
     assertThat(
@@ -174,10 +174,10 @@
   }
 
   @Test
-  void adoptsWhatStandsAfterTheKeeperIsReplaced() {
+  void newReconcilerRetainsOpenReplicas() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
-    keeper = newKeeper();
+    reconciler = newReconciler();
     headsSeen.clear();
     given.clear();
     run(10);
@@ -185,10 +185,10 @@
   }
 
   @Test
-  void opensWhatAnEarlierKeeperLeftReady() {
+  void newReconcilerCompletesUnfinishedFormations() {
     addBoxes(BOXES);
     run(5);
-    keeper = newKeeper();
+    reconciler = newReconciler();
     run(SETTLE_SECONDS);
     assertThat(domain.countOpen("large"), is(1L));
     assertThat(domain.countOpen("small"), is(2L));
@@ -196,7 +196,7 @@
   }
 
   @Test
-  void givesTheReserveUpForAWantedReplica() {
+  void reserveReplicaIsClosedForAPlannedReplica() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     domain.kill(memberOf("large"));
@@ -207,7 +207,7 @@
   }
 
   @Test
-  void aSoundReplicaThatMakesRoomAfterALossIsNotClosedInTheMiddleOfItsAnswers() {
+  void reserveReplicaClosedAfterALossFinishesItsRequests() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     domain.kill(memberOf("large"));
@@ -225,10 +225,10 @@
   }
 
   @Test
-  void aReplicaThatMovesIsNotClosedInTheMiddleOfItsAnswersForAMemberThatDoesNotAnswer() {
+  void progressingReplicaWithASilentMemberFinishesItsRequests() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
-    domain.mute(memberOf("large"));
+    domain.silence(memberOf("large"));
     given.clear();
     run(8);
     assertThat(
@@ -237,7 +237,7 @@
   }
 
   @Test
-  void aReplicaThatStandsStillForALostMemberIsClosedAtOnce() {
+  void stalledReplicaThatLostAMemberIsClosedImmediately() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     domain.kill(memberOf("large"));
@@ -248,17 +248,17 @@
   }
 
   @Test
-  void oneReplicaIsClosedForOneThatLacksBoxes() {
+  void onlyOneReplicaIsClosedForAReplicaThatLacksBoxes() {
     for (int seed = 0; seed < 20; seed++) {
-      DomainReconcilerTest play = new DomainReconcilerTest();
-      play.domain.setReportLagNanos(200_000_000L);
-      play.addBoxes(BOXES);
-      play.run(SETTLE_SECONDS + seed);
-      play.domain.kill(play.memberOf("large"));
-      play.given.clear();
-      play.run(8);
+      DomainReconcilerTest simulation = new DomainReconcilerTest();
+      simulation.domain.setReportLagNanos(200_000_000L);
+      simulation.addBoxes(BOXES);
+      simulation.run(SETTLE_SECONDS + seed);
+      simulation.domain.kill(simulation.memberOf("large"));
+      simulation.given.clear();
+      simulation.run(8);
       List<String> closed =
-          play.given.stream()
+          simulation.given.stream()
               .filter(
                   order ->
                       order.verb() == BoxOrder.Verb.CLOSE_NOW
@@ -272,7 +272,7 @@
   }
 
   @Test
-  void boxesTakeUpWhatTheyHeldLastThoughAnotherModelLiesOnTheirHosts() {
+  void boxesRejoinTheirLastModelThoughAnotherIsOnTheirHosts() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     demand = new Demand(Map.of("large", 0.9, "small", 0.1), Map.of(), true);
@@ -286,7 +286,7 @@
     given.clear();
     domain.leaveAtOnce(headOf("large"));
     run(5);
-    // A load would take sixteen seconds.
+    // A load from the weight store would take 16 s.
     assertThat(domain.countOpen("large"), is(1L));
     assertThat(
         given.stream()
@@ -296,8 +296,8 @@
   }
 
   @Test
-  void aHeadThatOpensSlowlyIsNotToldAgainAllTheTime() {
-    domain.setFormNanos(2 * FakeDomain.SECOND_NANOS);
+  void openingOfASlowHeadIsNotRestartedByRepeatedOrders() {
+    domain.setOpenNanos(2 * FakeDomain.SECOND_NANOS);
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     assertThat(domain.countOpen("large"), is(1L));
@@ -305,20 +305,20 @@
   }
 
   @Test
-  void aHeadThatCannotBeOpenedIsLetGo() {
+  void replicaWhoseHeadRejectsOpeningIsReplaced() {
     addBoxes(BOXES);
     run(SETTLE_SECONDS);
     ReplicaId replica = domain.openReplicaOf(headOf("large"));
     BoxOrder opening = BoxOrder.of(headOf("large"), BoxOrder.Verb.OPEN, replica, "test");
     domain.closeAtOnce(headOf("large"));
-    keeper.recordRejected(opening, domain.nowNanos());
+    reconciler.recordRejected(opening, domain.nowNanos());
     run(5);
     assertThat(domain.countOpen("large"), is(1L));
     assertThat(domain.openReplicaOf(headOf("large")).equals(replica), is(false));
   }
 
   @Test
-  void aSpareBoxHoldsAModelOnceSoThatItTakesItUpAtOnce() {
+  void spareBoxIsWarmedUpOnce() {
     addBoxes(BOXES + 1);
     run(SETTLE_SECONDS + 20);
     List<ObservedBox> spares =
@@ -332,7 +332,7 @@
   }
 
   @Test
-  void loadsOfANewDomainInTrafficBeginFewAtATime() {
+  void concurrentLoadsOfANewDomainUnderTrafficAreLimited() {
     demand = new Demand(Map.of("large", 0.5, "small", 0.5), Map.of(), true);
     addBoxes(BOXES);
     run(5);
@@ -349,69 +349,69 @@
   }
 
   @Test
-  void nothingIsFormedOnTheListAlone() {
+  void noReplicaIsFormedWithoutRecentReports() {
     domain.setConfirmed(false);
     addBoxes(BOXES);
     run(5);
     assertThat(given, is(empty()));
-    assertThat(keeper.needsReports(), is(true));
+    assertThat(reconciler.needsReports(), is(true));
     domain.setConfirmed(true);
     run(SETTLE_SECONDS);
     assertThat(domain.countOpen("large"), is(1L));
   }
 
   @Test
-  void boxesAreNotAskedForAReplicaThatStillWaitsForWeights() {
+  void noReportsAreNeededWhileWeightsAreMissing() {
     demand = new Demand(Map.of("large", 0.5, "small", 0.5), Map.of(), true);
     domain.setConfirmed(false);
     addBoxes(BOXES);
     run(5);
-    assertThat(keeper.needsReports(), is(false));
+    assertThat(reconciler.needsReports(), is(false));
     assertThat(given.stream().anyMatch(order -> order.verb() == BoxOrder.Verb.STAGE), is(true));
   }
 
   @Test
-  void holdsBothRulesUnderAnyMixOfFaults() {
+  void rulesHoldAndDomainRecoversUnderRandomFaults() {
     for (int seed = 0; seed < 300; seed++) {
-      playFaults(seed);
+      simulateFaults(seed);
     }
   }
 
-  private void playFaults(int seed) {
-    DomainReconcilerTest play = new DomainReconcilerTest();
+  private void simulateFaults(int seed) {
+    DomainReconcilerTest simulation = new DomainReconcilerTest();
     Random faults = new Random(seed);
-    play.addBoxes(BOXES);
-    play.run(60);
+    simulation.addBoxes(BOXES);
+    simulation.run(60);
     for (int i = 0; i < 30; i++) {
-      play.strike(faults);
-      play.run(faults.nextDouble() * 3);
+      simulation.injectFault(faults);
+      simulation.run(faults.nextDouble() * 3);
     }
-    assertThat("seed " + seed, play.domain.violations(), is(empty()));
-    play.domain.setLateShare(0);
-    play.domain.liveIds().forEach(play.domain::heal);
-    play.domain.endLeaving();
-    play.addBoxes(Math.max(0, BOXES - play.domain.liveIds().size()));
-    play.run(2 * SETTLE_SECONDS);
-    assertThat("seed " + seed, play.domain.violations(), is(empty()));
-    assertThat("seed " + seed, play.domain.countOpen("large"), is(greaterThanOrEqualTo(1L)));
-    assertThat("seed " + seed, play.domain.countOpen("small"), is(greaterThanOrEqualTo(1L)));
-    play.given.clear();
-    play.run(10);
-    assertThat("seed " + seed + " settles", play.given.size(), is(lessThan(12)));
+    assertThat("seed " + seed, simulation.domain.violations(), is(empty()));
+    simulation.domain.setUnansweredFraction(0);
+    simulation.domain.liveIds().forEach(simulation.domain::reconnect);
+    simulation.domain.endLeaving();
+    simulation.addBoxes(Math.max(0, BOXES - simulation.domain.liveIds().size()));
+    simulation.run(2 * SETTLE_SECONDS);
+    assertThat("seed " + seed, simulation.domain.violations(), is(empty()));
+    assertThat("seed " + seed, simulation.domain.countOpen("large"), is(greaterThanOrEqualTo(1L)));
+    assertThat("seed " + seed, simulation.domain.countOpen("small"), is(greaterThanOrEqualTo(1L)));
+    simulation.given.clear();
+    simulation.run(10);
+    assertThat("seed " + seed + " settles", simulation.given.size(), is(lessThan(12)));
   }
 
-  private void strike(Random faults) {
+  private void injectFault(Random faults) {
     List<String> live = domain.liveIds();
     String id = live.isEmpty() ? domain.addBox() : live.get(faults.nextInt(live.size()));
     switch (faults.nextInt(8)) {
       case 0 -> domain.kill(id);
-      case 1 -> domain.cut(id, true);
-      case 2 -> domain.cut(id, false);
-      case 3 -> live.forEach(domain::heal);
-      case 4 -> domain.setLateShare(faults.nextDouble() * 0.5);
+      case 1 -> domain.disconnect(id, true);
+      case 2 -> domain.disconnect(id, false);
+      case 3 -> live.forEach(domain::reconnect);
+      case 4 -> domain.setUnansweredFraction(faults.nextDouble() * 0.5);
       case 5 -> domain.addBox();
-      case 6 -> domain.leaveSoon(id);
-      default -> keeper = newKeeper();
+      case 6 -> domain.announceLeaving(id);
+      default -> reconciler = newReconciler();
     }
   }
 }
--- a/core/src/test/java/org/shoreroad/fleet/FakeDomain.java
+++ b/core/src/test/java/org/shoreroad/fleet/FakeDomain.java
@@ -12,32 +12,34 @@
 import org.shoreroad.fleet.ObservedBox.Reach;
 
 /**
- * A fabric domain whose engines are played here, with the two rules that must hold at all times.
+ * Simulation of a fabric domain and its engines. Records violations of two rules: no box joins a
+ * replica while the head of its former one serves, and no replica serves with a member that was
+ * never ready.
  *
- * <p>Time moves in steps of 50 ms. Faults: boxes die, are cut off from all or from the list alone,
- * leave; orders are lost, or carried out seconds later.
+ * <p>Simulated time advances in steps of 50 ms. Faults: boxes die, leave, or lose the connection to
+ * all others or to the list only; orders are lost or carried out seconds later.
  */
 final class FakeDomain {
   static final long STEP_NANOS = 50_000_000L;
   static final long SECOND_NANOS = 1_000_000_000L;
-  private static final long STALL_NANOS = 5 * SECOND_NANOS;
-  private static final long CERTAIN_NANOS = 6 * SECOND_NANOS;
-  private static final long FORM_NANOS = 300_000_000L;
+  private static final long STALL_LIMIT_NANOS = 5 * SECOND_NANOS;
+  private static final long DEAD_AFTER_NANOS = 6 * SECOND_NANOS;
+  private static final long OPEN_NANOS = 300_000_000L;
   private static final long REJOIN_NANOS = 200_000_000L;
 
   private final Map<String, Engine> engines = new LinkedHashMap<>();
   private final Map<ReplicaId, List<String>> membersOf = new HashMap<>();
   private final Map<ReplicaId, Set<String>> everReady = new HashMap<>();
-  private final List<LateOrder> lateOrders = new ArrayList<>();
+  private final List<DelayedOrder> delayedOrders = new ArrayList<>();
   private final EngineSpec spec;
   private final Random random;
   private final List<String> violations = new ArrayList<>();
-  private double lateShare;
-  private long formNanos = FORM_NANOS;
+  private double unansweredFraction;
+  private long openNanos = OPEN_NANOS;
   private long reportLagNanos;
   private boolean isConfirmed = true;
   private long nowNanos = SECOND_NANOS;
-  private int born;
+  private int addedBoxes;
 
   FakeDomain(EngineSpec spec, Random random) {
     this.spec = spec;
@@ -56,7 +58,7 @@
   }
 
   String addBox() {
-    String id = "box-" + born++;
+    String id = "box-" + addedBoxes++;
     engines.put(id, new Engine(id));
     return id;
   }
@@ -65,13 +67,13 @@
     isConfirmed = confirmed;
   }
 
-  /** Sets how old the state is that the boxes tell. */
+  /** Sets the age of the state that the boxes report, in nanoseconds. */
   void setReportLagNanos(long nanos) {
     reportLagNanos = nanos;
   }
 
-  void setLateShare(double share) {
-    lateShare = share;
+  void setUnansweredFraction(double fraction) {
+    unansweredFraction = fraction;
   }
 
   long nowNanos() {
@@ -88,62 +90,66 @@
 
   void kill(String id) {
     engines.get(id).isAlive = false;
-    engines.get(id).endedNanos = nowNanos;
+    engines.get(id).silentSinceNanos = nowNanos;
   }
 
-  /** Boxes that said they leave do end. */
+  /** Ends the boxes that have announced that they leave. */
   void endLeaving() {
     engines.values().stream().filter(e -> e.isAlive && e.isLeaving).forEach(e -> kill(e.id));
   }
 
-  /** Weights come to a host by another way. */
+  /** Replaces the weights on the host of a box, without an order. */
   void putOnHost(String id, String model) {
     engines.get(id).staged.clear();
     engines.get(id).staged.add(model);
   }
 
-  /** A head closes, as if ordered. */
+  /** Closes a head, as if ordered. */
   void closeAtOnce(String id) {
     Engine engine = engines.get(id);
     engine.take(BoxOrder.of(id, BoxOrder.Verb.CLOSE_NOW, engine.replica, "test"));
   }
 
-  /** A head lets its replica go, as if ordered. */
+  /** Closes a head and lets it leave its replica, as if ordered. */
   void leaveAtOnce(String id) {
     closeAtOnce(id);
     Engine engine = engines.get(id);
     engine.take(BoxOrder.of(id, BoxOrder.Verb.LEAVE, engine.replica, "test"));
   }
 
-  /** A box answers no question any more, and works on. */
-  void mute(String id) {
-    engines.get(id).isMute = true;
+  /** Stops the answers of a box to requests for reports; it continues to work. */
+  void silence(String id) {
+    engines.get(id).isSilenced = true;
   }
 
-  void leaveSoon(String id) {
+  void announceLeaving(String id) {
     engines.get(id).isLeaving = true;
   }
 
-  /** Cuts a box off from the list and, if wanted, from every asker and every other box too. */
-  void cut(String id, boolean isWhole) {
+  /**
+   * Disconnects a box from the list.
+   *
+   * @param isFromAll true to disconnect it from all processes and other boxes too
+   */
+  void disconnect(String id, boolean isFromAll) {
     engines.get(id).isOffList = true;
-    if (isWhole) {
-      engines.get(id).isCut = true;
+    if (isFromAll) {
+      engines.get(id).isDisconnected = true;
     } else {
       setReachable(id);
     }
-    engines.get(id).endedNanos = nowNanos;
+    engines.get(id).silentSinceNanos = nowNanos;
   }
 
-  void heal(String id) {
+  void reconnect(String id) {
     setReachable(id);
     engines.get(id).isOffList = false;
   }
 
   private void setReachable(String id) {
-    if (engines.get(id).isCut) {
-      engines.get(id).isCut = false;
-      engines.get(id).healedNanos = nowNanos;
+    if (engines.get(id).isDisconnected) {
+      engines.get(id).isDisconnected = false;
+      engines.get(id).reconnectedNanos = nowNanos;
     }
   }
 
@@ -162,78 +168,80 @@
   List<ObservedBox> observedBoxes() {
     List<ObservedBox> observedBoxes = new ArrayList<>();
     for (Engine engine : engines.values()) {
-      boolean isSilent = !engine.isAlive || engine.isCut;
-      long silentNanos = isSilent ? nowNanos - engine.endedNanos : 0;
+      boolean isSilent = !engine.isAlive || engine.isDisconnected;
+      long silentNanos = isSilent ? nowNanos - engine.silentSinceNanos : 0;
       boolean isListed = !(isSilent || engine.isOffList) || silentNanos < 3 * SECOND_NANOS;
-      Reach reach = silentNanos > 700_000_000L || engine.isMute ? Reach.LOST : Reach.LIKELY;
-      if (silentNanos > CERTAIN_NANOS && !isListed) {
+      Reach reach = silentNanos > 700_000_000L || engine.isSilenced ? Reach.LOST : Reach.LIKELY;
+      if (silentNanos > DEAD_AFTER_NANOS && !isListed) {
         reach = Reach.GONE;
       }
-      boolean isSteady = nowNanos - engine.healedNanos > CERTAIN_NANOS;
+      boolean isSteady = nowNanos - engine.reconnectedNanos > DEAD_AFTER_NANOS;
       observedBoxes.add(
           new ObservedBox(
-              engine.toToldBox(),
+              engine.toReportedBox(),
               isListed,
               reach,
               isSteady && !isSilent,
               isConfirmed,
-              engine.isServingInVain(),
+              engine.isStalledHead(),
               engine.lastModel()));
     }
     return observedBoxes;
   }
 
-  /** Takes an order; returns true if the engine said that it carries it out. */
+  /** Gives an order to its box. Returns true if the engine accepts it. */
   boolean give(BoxOrder order) {
-    if (random.nextDouble() < lateShare) {
-      // Lost for the keeper; half of these are carried out later, after newer ones.
+    if (random.nextDouble() < unansweredFraction) {
+      // The reconciler gets no answer. Half of these orders are carried out later, after newer
+      // ones.
       if (random.nextBoolean()) {
         long atNanos = nowNanos + (2 + random.nextInt(10)) * SECOND_NANOS;
-        lateOrders.add(new LateOrder(atNanos, order));
+        delayedOrders.add(new DelayedOrder(atNanos, order));
       }
       return false;
     }
     return carryOut(order);
   }
 
-  /** Sets how long a head takes to open; each order to open begins it anew. */
-  void setFormNanos(long nanos) {
-    formNanos = nanos;
+  /** Sets the time in which a head opens. Each order to open restarts it. */
+  void setOpenNanos(long nanos) {
+    openNanos = nanos;
   }
 
   void step() {
     nowNanos += STEP_NANOS;
-    List<LateOrder> due = lateOrders.stream().filter(late -> late.atNanos <= nowNanos).toList();
-    lateOrders.removeAll(due);
-    due.forEach(late -> carryOut(late.order));
+    List<DelayedOrder> due =
+        delayedOrders.stream().filter(delayed -> delayed.atNanos <= nowNanos).toList();
+    delayedOrders.removeAll(due);
+    due.forEach(delayed -> carryOut(delayed.order));
     engines.values().forEach(Engine::step);
   }
 
   private boolean carryOut(BoxOrder order) {
     Engine engine = engines.get(order.boxId());
-    boolean hears = engine != null && engine.isAlive && !engine.isCut;
-    if (hears) {
+    boolean isReachable = engine != null && engine.isAlive && !engine.isDisconnected;
+    if (isReachable) {
       engine.take(order);
     }
-    return hears;
+    return isReachable;
   }
 
-  private record Told(long atNanos, FleetBox box) {}
+  private record Report(long atNanos, FleetBox box) {}
 
-  private record LateOrder(long atNanos, BoxOrder order) {}
+  private record DelayedOrder(long atNanos, BoxOrder order) {}
 
-  /** One engine. */
+  /** Simulated engine. */
   private final class Engine {
     private final String id;
     private final Set<String> staged = new HashSet<>();
-    private final List<Told> told = new ArrayList<>();
+    private final List<Report> reports = new ArrayList<>();
     private boolean isAlive = true;
     private boolean isLeaving;
-    private boolean isCut;
-    private boolean isMute;
+    private boolean isDisconnected;
+    private boolean isSilenced;
     private boolean isOffList;
-    private long endedNanos;
-    private long healedNanos = -CERTAIN_NANOS;
+    private long silentSinceNanos;
+    private long reconnectedNanos = -DEAD_AFTER_NANOS;
     private @Nullable ReplicaId replica;
     private @Nullable String model;
     private @Nullable MemberState state;
@@ -252,18 +260,27 @@
     FleetBox toBox() {
       Membership membership =
           replica == null || state == null ? null : new Membership(replica, rank, state);
-      // As on the platform, an engine names its model only while it is a member and holds it.
-      String named = membership == null || state == MemberState.JOINING ? null : model;
+      // As on the platform, an engine reports its model only while it is a member and holds it.
+      String reportedModel = membership == null || state == MemberState.JOINING ? null : model;
       return new FleetBox(
-          id, "llm", id + ":1", "z", 18, isLeaving, "d", named, List.copyOf(staged), membership);
+          id,
+          "llm",
+          id + ":1",
+          "z",
+          18,
+          isLeaving,
+          "d",
+          reportedModel,
+          List.copyOf(staged),
+          membership);
     }
 
-    /** Returns the box as it tells, some time late. */
-    FleetBox toToldBox() {
-      while (told.size() > 1 && told.get(1).atNanos <= nowNanos - reportLagNanos) {
-        told.remove(0);
+    /** Returns the box in the state that it reports, which may be out of date. */
+    FleetBox toReportedBox() {
+      while (reports.size() > 1 && reports.get(1).atNanos <= nowNanos - reportLagNanos) {
+        reports.remove(0);
       }
-      return told.isEmpty() || reportLagNanos == 0 ? toBox() : told.get(0).box;
+      return reports.isEmpty() || reportLagNanos == 0 ? toBox() : reports.get(0).box;
     }
 
     @Nullable String lastModel() {
@@ -291,7 +308,7 @@
         case OPEN -> {
           if (state == MemberState.READY) {
             changeTo = MemberState.OPEN;
-            changeNanos = nowNanos + formNanos;
+            changeNanos = nowNanos + openNanos;
           }
         }
         case CLOSE_AFTER_WORK, CLOSE_NOW -> {
@@ -315,33 +332,35 @@
     }
 
     private void join(BoxOrder order) {
-      ReplicaId wanted = order.replica();
-      if (wanted == null || wanted.epoch() < seenEpoch || wanted.equals(replica)) {
+      ReplicaId ordered = order.replica();
+      if (ordered == null || ordered.epoch() < seenEpoch || ordered.equals(replica)) {
         return;
       }
-      checkLetGo(wanted);
-      String wantedModel = String.valueOf(order.model());
-      ModelShape shape = spec.findModel(wantedModel).orElseThrow();
+      checkFormerReplicaClosed(ordered);
+      String orderedModel = String.valueOf(order.model());
+      ModelShape shape = spec.findModel(orderedModel).orElseThrow();
       long nanos = (long) (shape.loadSeconds() * SECOND_NANOS);
-      if (wantedModel.equals(model)) {
+      if (orderedModel.equals(model)) {
         nanos = REJOIN_NANOS;
-      } else if (staged.contains(wantedModel)) {
+      } else if (staged.contains(orderedModel)) {
         nanos = (long) (shape.warmSeconds() * SECOND_NANOS);
       }
       staged.clear();
-      staged.add(wantedModel);
-      model = wantedModel;
-      replica = wanted;
-      seenEpoch = wanted.epoch();
+      staged.add(orderedModel);
+      model = orderedModel;
+      replica = ordered;
+      seenEpoch = ordered.epoch();
       rank = order.members().indexOf(id);
       state = MemberState.JOINING;
       changeTo = MemberState.READY;
       changeNanos = nowNanos + nanos;
-      membersOf.put(wanted, order.members());
+      membersOf.put(ordered, order.members());
     }
 
-    /** A box may not pass to another replica while the head of its own one serves. */
-    private void checkLetGo(ReplicaId wanted) {
+    /**
+     * Records a violation if the box joins another replica while the head of its own one serves.
+     */
+    private void checkFormerReplicaClosed(ReplicaId ordered) {
       if (replica == null) {
         return;
       }
@@ -352,10 +371,10 @@
               && head.state != null
               && head.state.isServing();
       if (isServing && head != this) {
-        violations.add(id + " joined " + wanted + " while the head of " + replica + " serves");
+        violations.add(id + " joined " + ordered + " while the head of " + replica + " serves");
       }
       if (head == this && state != null && state.isServing()) {
-        violations.add(id + " joined " + wanted + " while it serves " + replica);
+        violations.add(id + " joined " + ordered + " while it serves " + replica);
       }
     }
 
@@ -363,7 +382,7 @@
       if (!isAlive) {
         return;
       }
-      told.add(new Told(nowNanos, toBox()));
+      reports.add(new Report(nowNanos, toBox()));
       if (staging != null && nowNanos >= stagedNanos) {
         staged.clear();
         staged.add(staging);
@@ -377,31 +396,32 @@
         }
       }
       if (state == MemberState.OPEN && replica != null) {
-        checkWhole(replica);
+        checkEveryMemberWasReady(replica);
         stalledSinceNanos =
             !isStalled() ? -1 : stalledSinceNanos < 0 ? nowNanos : stalledSinceNanos;
-        if (stalledSinceNanos >= 0 && nowNanos - stalledSinceNanos > STALL_NANOS) {
+        if (stalledSinceNanos >= 0 && nowNanos - stalledSinceNanos > STALL_LIMIT_NANOS) {
           state = MemberState.BROKEN;
         }
       }
     }
 
-    private void checkWhole(ReplicaId open) {
+    private void checkEveryMemberWasReady(ReplicaId open) {
       List<String> members = membersOf.get(open);
       if (!everReady.getOrDefault(open, Set.of()).containsAll(members)) {
         violations.add(open + " serves though a member was never ready");
       }
     }
 
-    boolean isServingInVain() {
+    boolean isStalledHead() {
       return isAlive && state != null && state.isServing() && isStalled();
     }
 
     boolean isStalled() {
       for (String member : membersOf.getOrDefault(replica, List.of())) {
         Engine other = engines.get(member);
-        boolean isThere = other.isAlive && other.isCut == isCut && other.replica != null;
-        if (!isThere || !other.replica.equals(replica)) {
+        boolean isConnected =
+            other.isAlive && other.isDisconnected == isDisconnected && other.replica != null;
+        if (!isConnected || !other.replica.equals(replica)) {
           return true;
         }
       }
