--- a/core/src/test/java/org/shoreroad/fleet/DomainPackingTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/DomainPackingTest.java
@@ -32,21 +32,21 @@
   }
 
   @Test
-  void freeBoxesServeTheMostPressedModel() {
+  void availableBoxesServeTheModelUnderTheHighestPressure() {
     List<ObservedBox> four = boxes(4, "large", "small");
     assertThat(packing(0.9, 0.2).fill(four, Map.of()), is(Map.of("large", 1)));
     assertThat(packing(0.2, 0.9).fill(four, Map.of()), is(Map.of("small", 2)));
   }
 
   @Test
-  void aReplicaWhoseBoxesWouldHaveToLoadIsNotFormed() {
+  void replicaThatNeedsWeightsFromTheStoreIsNotFormed() {
     List<ObservedBox> four = boxes(4, "small");
     assertThat(packing(0.9, 0.2).fill(four, Map.of()), is(Map.of("small", 2)));
     assertThat(packing(0.9, 0.2).fill(boxes(4, null), Map.of()), is(Map.of()));
   }
 
   @Test
-  void thePressureFallsAsReplicasAreAdded() {
+  void pressureFallsAsReplicasAreAdded() {
     DomainPacking packing = packing(0.6, 0.1);
     assertThat(packing.highestPressure(Map.of(), Map.of()), is(closeTo(0.6, 1e-9)));
     assertThat(packing.highestPressure(Map.of("large", 1), Map.of()), is(closeTo(0.48, 1e-9)));
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void aModelWithoutReplicaIsPressedMoreThanAnyOther() {
+  void modelWithoutReplicaHasTheHighestPressure() {
     Demand demand = new Demand(Map.of("small", 5.0), Map.of("small", 1), true);
     DomainPacking packing = DomainPacking.of(List.of(LARGE, SMALL), demand, List.of());
     assertThat(packing.highestPressure(Map.of(), Map.of()), is(greaterThan(100.0)));
--- a/core/src/test/java/org/shoreroad/fleet/FleetBoxTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/FleetBoxTest.java
@@ -23,20 +23,21 @@
     return new FleetBox(id, "s", "h:1", zone, slots, false, "d", model, staged, membership);
   }
 
-  private static FleetBox usual() {
+  private static FleetBox defaultBox() {
     return box("i", "z", 4, "m", List.of("n"), MEMBERSHIP);
   }
 
   @Test
-  void boxesAreEqualIfAllTheirPartsAre() {
-    assertThat(usual(), is(usual()));
-    assertThat(usual().hashCode(), is(usual().hashCode()));
-    FleetBox bare = new FleetBox("i", "s", "h:1", "z", 4, false, null, null, List.of(), null);
-    assertThat(bare, is(new FleetBox("i", "s", "h:1", "z", 4, false, null, null, List.of(), null)));
+  void boxesWithEqualComponentsAreEqual() {
+    assertThat(defaultBox(), is(defaultBox()));
+    assertThat(defaultBox().hashCode(), is(defaultBox().hashCode()));
+    FleetBox minimalBox = new FleetBox("i", "s", "h:1", "z", 4, false, null, null, List.of(), null);
+    assertThat(
+        minimalBox, is(new FleetBox("i", "s", "h:1", "z", 4, false, null, null, List.of(), null)));
   }
 
   @Test
-  void boxesThatDifferInOnePartAreNotEqual() {
+  void boxesThatDifferInOneComponentAreNotEqual() {
     List<FleetBox> others =
         List.of(
             box("j", "z", 4, "m", List.of("n"), MEMBERSHIP),
@@ -46,15 +47,15 @@
             box("i", "z", 4, null, List.of("n"), MEMBERSHIP),
             box("i", "z", 4, "m", List.of(), MEMBERSHIP),
             box("i", "z", 4, "m", List.of("n"), null),
-            usual().withLeaving(),
+            defaultBox().withLeaving(),
             new FleetBox("i", "t", "h:1", "z", 4, false, "d", "m", List.of("n"), MEMBERSHIP),
             new FleetBox("i", "s", "h:2", "z", 4, false, "d", "m", List.of("n"), MEMBERSHIP),
             new FleetBox("i", "s", "h:1", "z", 4, false, "e", "m", List.of("n"), MEMBERSHIP));
-    assertThat(others, everyItem(is(not(usual()))));
+    assertThat(others, everyItem(is(not(defaultBox()))));
   }
 
   @Test
-  void membershipsThatDifferInOnePartAreNotEqual() {
+  void membershipsThatDifferInOneComponentAreNotEqual() {
     assertThat(new Membership(new ReplicaId("r", 3), 1, MemberState.READY), is(MEMBERSHIP));
     List<Membership> others =
         List.of(
--- a/core/src/test/java/org/shoreroad/fleet/RecentOrdersTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/RecentOrdersTest.java
@@ -8,29 +8,28 @@
 class RecentOrdersTest {
   private static final long REPEAT_NANOS = 500;
 
-  private final RecentOrders book = new RecentOrders(REPEAT_NANOS);
-  private final BoxOrder open =
-      BoxOrder.of("b", BoxOrder.Verb.OPEN, new ReplicaId("r", 1), "because");
+  private final RecentOrders recentOrders = new RecentOrders(REPEAT_NANOS);
+  private final BoxOrder open = BoxOrder.of("b", BoxOrder.Verb.OPEN, new ReplicaId("r", 1), "test");
 
   @Test
-  void anOrderIsDueAgainWhenItsEffectDidNotShow() {
-    assertThat(book.isDue(open, 0), is(true));
-    assertThat(book.isDue(open, REPEAT_NANOS - 1), is(false));
-    assertThat(book.isDue(open, REPEAT_NANOS), is(true));
+  void orderIsDueAgainAfterTheRepeatInterval() {
+    assertThat(recentOrders.isDue(open, 0), is(true));
+    assertThat(recentOrders.isDue(open, REPEAT_NANOS - 1), is(false));
+    assertThat(recentOrders.isDue(open, REPEAT_NANOS), is(true));
   }
 
   @Test
-  void anOrderThatWasTakenWaitsLonger() {
-    assertThat(book.isDue(open, 0), is(true));
-    book.recordAccepted(open, 10);
-    assertThat(book.isDue(open, 5 * REPEAT_NANOS), is(false));
-    assertThat(book.isDue(open, 10 + 6 * REPEAT_NANOS), is(true));
+  void acceptedOrderIsDueAgainAfterSixIntervals() {
+    assertThat(recentOrders.isDue(open, 0), is(true));
+    recentOrders.recordAccepted(open, 10);
+    assertThat(recentOrders.isDue(open, 5 * REPEAT_NANOS), is(false));
+    assertThat(recentOrders.isDue(open, 10 + 6 * REPEAT_NANOS), is(true));
   }
 
   @Test
-  void ordersOnOtherReplicasAreNotHeldBack() {
-    BoxOrder other = BoxOrder.of("b", BoxOrder.Verb.OPEN, new ReplicaId("r", 2), "because");
-    assertThat(book.isDue(open, 0), is(true));
-    assertThat(book.isDue(other, 0), is(true));
+  void orderForAnotherReplicaIsDue() {
+    BoxOrder other = BoxOrder.of("b", BoxOrder.Verb.OPEN, new ReplicaId("r", 2), "test");
+    assertThat(recentOrders.isDue(open, 0), is(true));
+    assertThat(recentOrders.isDue(other, 0), is(true));
   }
 }
--- a/core/src/test/java/org/shoreroad/fleet/ReplicaConversionTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/ReplicaConversionTest.java
@@ -21,7 +21,7 @@
   private final ReplicaConversion conversion = new ReplicaConversion("d");
   private final List<ObservedBox> observedBoxes = new ArrayList<>();
 
-  /** A second in which it is not the turn of this domain. */
+  /** Initially a second that is not the turn of this domain. */
   private long nowNanos = (8 * 125 + 1 - "d".hashCode() % 8) * SECOND_NANOS;
 
   private Demand demand = demand(0.9, 0.2);
@@ -48,64 +48,64 @@
 
   private List<String> choose() {
     DomainView view = new DomainView(observedBoxes);
-    List<ObservedReplica> standing = List.copyOf(ObservedReplica.from(observedBoxes).values());
-    standing.forEach(replica -> view.bindRetained(replica.members(), "small"));
+    List<ObservedReplica> replicas = List.copyOf(ObservedReplica.from(observedBoxes).values());
+    replicas.forEach(replica -> view.bindRetained(replica.members(), "small"));
     DomainPacking packing = DomainPacking.of(MODELS, demand, observedBoxes);
     Map<String, Integer> wanted = new HashMap<>(view.retained());
     packing
         .fill(view.available(), view.retained())
         .forEach((name, more) -> wanted.merge(name, more, Integer::sum));
-    return conversion.choose(view, packing, wanted, standing, nowNanos).stream()
+    return conversion.choose(view, packing, wanted, replicas, nowNanos).stream()
         .map(replica -> replica.replica().name())
         .toList();
   }
 
-  private void addSurvivors() {
+  private void addAvailableBoxes() {
     for (int i = 0; i < 3; i++) {
       add("free" + i, "large", null);
     }
   }
 
   @Test
-  void aSmallReplicaGivesItsBoxesToThePressedModelWhenBoxesComeFree() {
+  void smallReplicaIsClosedWhenBoxesBecomeAvailableForAModelUnderHigherPressure() {
     addSmallReplica("a");
     addSmallReplica("b");
     assertThat(choose(), is(empty()));
-    addSurvivors();
+    addAvailableBoxes();
     assertThat(choose().size(), is(1));
   }
 
   @Test
-  void nothingIsClosedForAModelThatIsPressedLess() {
+  void noReplicaIsClosedForAModelUnderLowerPressure() {
     demand = demand(0.2, 0.9);
     addSmallReplica("a");
     assertThat(choose(), is(empty()));
-    addSurvivors();
+    addAvailableBoxes();
     assertThat(choose(), is(empty()));
   }
 
   @Test
-  void idleBoxesThatWereThereBeforeCloseNothing() {
+  void noReplicaIsClosedForBoxesAvailableSinceTheFirstCall() {
     addSmallReplica("a");
-    addSurvivors();
+    addAvailableBoxes();
     assertThat(choose(), is(empty()));
     assertThat(choose(), is(empty()));
   }
 
   @Test
-  void aModelThatStaysUnderHighPressureIsMadeRoomForInTheDomainsTurn() {
+  void replicaIsClosedForAModelUnderHighPressureInTheTurnOfTheDomain() {
     addSmallReplica("a");
-    addSurvivors();
+    addAvailableBoxes();
     assertThat(choose(), is(empty()));
     nowNanos += 7 * SECOND_NANOS;
     assertThat(choose().size(), is(1));
   }
 
   @Test
-  void aModelUnderLittlePressureIsNot() {
+  void noReplicaIsClosedForAModelUnderModeratePressure() {
     demand = demand(0.7, 0.1);
     addSmallReplica("a");
-    addSurvivors();
+    addAvailableBoxes();
     for (int second = 0; second < 16; second++) {
       assertThat(choose(), is(empty()));
       nowNanos += SECOND_NANOS;
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aModelWithoutReplicaIsMadeRoomForWithoutWaiting() {
+  void replicasAreClosedImmediatelyForAModelWithoutReplica() {
     demand = new Demand(Map.of("small", 0.2), Map.of("small", 8), true);
     addSmallReplica("a");
     addSmallReplica("b");
@@ -121,11 +121,11 @@
   }
 
   @Test
-  void theNextClosingWaitsUntilTheLastHasShown() {
+  void noReplicaIsClosedWithinTheIntervalAfterAConversion() {
     addSmallReplica("a");
     addSmallReplica("b");
     choose();
-    addSurvivors();
+    addAvailableBoxes();
     assertThat(choose().size(), is(1));
     add("later", "large", null);
     nowNanos += 5 * SECOND_NANOS;
--- a/core/src/test/java/org/shoreroad/fleet/ReplicaIdTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/ReplicaIdTest.java
@@ -12,7 +12,7 @@
       new FleetBox("i-3", "llm", "10.0.0.3:81", "z", 4, false, "d|1", null, List.of(), null);
 
   @Test
-  void theNameTellsTheHeadAndItsAddress() {
+  void nameContainsTheIdAndAddressOfTheHead() {
     ReplicaId replica = ReplicaId.of("d|1", "m", 17, HEAD);
     assertThat(replica.headId(), is("i-3"));
     assertThat(replica.headAddress(), is("10.0.0.3:81"));
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void anotherNameTellsNoHead() {
+  void headIsNullForANameWithoutHead() {
     for (String name : new String[] {"d-m-17", "d|m", ""}) {
       assertThat(new ReplicaId(name, 17).headId(), is(nullValue()));
       assertThat(new ReplicaId(name, 17).headAddress(), is(nullValue()));
--- a/core/src/test/java/org/shoreroad/fleet/ReplicaPlanTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/ReplicaPlanTest.java
@@ -11,21 +11,21 @@
   private final EngineSpec spec = FakeDomain.spec();
 
   @Test
-  void aLargeDomainKeepsAQuarterAsReserve() {
+  void largeDomainHasAQuarterOfItsBoxesAsReserve() {
     ReplicaPlan plan = ReplicaPlan.of(spec, Map.of("d", 8));
     assertThat(plan.wanted("d", "large"), is(1));
     assertThat(plan.wanted("d", "small"), is(1));
   }
 
   @Test
-  void aSmallDomainUsesAllItHas() {
+  void smallDomainHasNoReserve() {
     ReplicaPlan plan = ReplicaPlan.of(spec, Map.of("d", 6));
     assertThat(plan.wanted("d", "large"), is(1));
     assertThat(plan.wanted("d", "small"), is(1));
   }
 
   @Test
-  void sharesHoldOverAllDomains() {
+  void sharesAreMetOverAllDomains() {
     Map<String, Integer> sizes = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       sizes.put("d" + i, 7);
@@ -42,24 +42,24 @@
   }
 
   @Test
-  void modelsOfHalfADomainAreInEachDomain() {
-    EngineSpec of =
+  void largeModelsArePlannedInEveryDomain() {
+    EngineSpec wideSpec =
         FakeDomain.spec(
             new ModelShape("wide", 8, 0.5, 1, 16, 1.6), new ModelShape("slim", 4, 0.5, 1, 12, 1.1));
     Map<String, Integer> sizes = new HashMap<>();
     for (int i = 0; i < 12; i++) {
       sizes.put("d" + i, 19);
     }
-    ReplicaPlan plan = ReplicaPlan.of(of, sizes);
+    ReplicaPlan plan = ReplicaPlan.of(wideSpec, sizes);
     for (String domain : sizes.keySet()) {
-      // The reserve of four boxes holds another slim one, and three are at hand for losses.
+      // The reserve of four boxes serves in another slim replica, and three boxes are spare.
       assertThat(plan.wanted(domain, "wide"), is(1));
       assertThat(plan.wanted(domain, "slim"), is(1));
     }
   }
 
   @Test
-  void nothingFitsIntoTooFewBoxes() {
+  void noReplicaIsPlannedForTooFewBoxes() {
     ReplicaPlan plan = ReplicaPlan.of(spec, Map.of("d", 1));
     assertThat(plan.wanted("d", "large"), is(0));
     assertThat(plan.wanted("d", "small"), is(0));
--- a/core/src/test/java/org/shoreroad/fleet/SpareWarmupTest.java
+++ b/core/src/test/java/org/shoreroad/fleet/SpareWarmupTest.java
@@ -14,7 +14,7 @@
   private static final List<ModelShape> MODELS = FakeDomain.spec().models();
 
   private long epoch;
-  private final SpareWarmup warmings = new SpareWarmup("d", () -> ++epoch);
+  private final SpareWarmup warmups = new SpareWarmup("d", () -> ++epoch);
 
   private static ObservedBox spare(String id, @Nullable String staged, @Nullable String lastModel) {
     List<String> onHost = staged == null ? List.of() : List.of(staged);
@@ -23,8 +23,8 @@
   }
 
   @Test
-  void aSpareJoinsAloneWhatLiesOnItsHost() {
-    List<BoxOrder> orders = warmings.begin(List.of(spare("a", "small", null)), MODELS, 0);
+  void spareBoxJoinsAReplicaOfTheModelOnItsHostAlone() {
+    List<BoxOrder> orders = warmups.begin(List.of(spare("a", "small", null)), MODELS, 0);
     assertThat(orders.size(), is(1));
     assertThat(orders.get(0).verb(), is(BoxOrder.Verb.JOIN));
     assertThat(orders.get(0).model(), is("small"));
@@ -32,17 +32,17 @@
   }
 
   @Test
-  void whatHeldAModelOrHasNoneAtHandIsLeftAlone() {
+  void boxWithLastModelOrWithoutWeightsGetsNoOrder() {
     List<ObservedBox> free = List.of(spare("a", "small", "large"), spare("b", null, null));
-    assertThat(warmings.begin(free, MODELS, 0), is(empty()));
+    assertThat(warmups.begin(free, MODELS, 0), is(empty()));
   }
 
   @Test
-  void theOthersStayAtHandForALoss() {
+  void onlyOneWarmupRunsAtATime() {
     List<ObservedBox> free = List.of(spare("a", "small", null), spare("b", "large", null));
-    assertThat(warmings.begin(free, MODELS, 0).size(), is(1));
-    assertThat(warmings.begin(free, MODELS, 1), is(empty()));
-    warmings.forgetOlder(5);
-    assertThat(warmings.begin(free, MODELS, 6).size(), is(1));
+    assertThat(warmups.begin(free, MODELS, 0).size(), is(1));
+    assertThat(warmups.begin(free, MODELS, 1), is(empty()));
+    warmups.forgetOlder(5);
+    assertThat(warmups.begin(free, MODELS, 6).size(), is(1));
   }
 }
