--- a/core/src/main/java/org/shoreroad/fleet/BoxOrder.java
+++ b/core/src/main/java/org/shoreroad/fleet/BoxOrder.java
@@ -57,7 +57,7 @@
     OPEN,
     /** As the head, finish the running requests and take no new ones. */
     CLOSE_AFTER_WORK,
-    /** As the head, cut off the running requests and take no new ones. */
+    /** As the head, cancel the running requests and take no new ones. */
     CLOSE_NOW,
     /** Leave the replica. */
     LEAVE,
--- a/core/src/main/java/org/shoreroad/fleet/ClosingReplicas.java
+++ b/core/src/main/java/org/shoreroad/fleet/ClosingReplicas.java
@@ -12,7 +12,7 @@
  * thread-safe: used by one thread.
  */
 final class ClosingReplicas {
-  /** Reason for closing a complete replica. */
+  /** Reason for closing a replica that has all its members. */
   private static final String BOXES_WANTED = "a wanted replica lacks boxes";
 
   private static final String MEMBER_LOST = "a member is lost";
--- a/core/src/main/java/org/shoreroad/fleet/DomainPacking.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainPacking.java
@@ -19,10 +19,10 @@
  */
 final class DomainPacking {
   /**
-   * Assumed load of a model without replicas, as the pressure of a single replica. The actual load
-   * is unknown, because refused requests are not counted.
+   * Assumed open requests of a model without replicas, in multiples of the slots of a replica. The
+   * actual number is unknown, because refused requests are not counted.
    */
-  private static final double UNKNOWN_OPEN_REPLICAS = 1;
+  private static final double ASSUMED_OPEN_REPLICAS = 1;
 
   private final List<ModelShape> models;
   private final List<ModelShape> largestFirst;
@@ -94,7 +94,7 @@
       return Demand.NO_REPLICA_PRESSURE;
     }
     int now = demand.replicaCount(name);
-    double open = now == 0 ? UNKNOWN_OPEN_REPLICAS : demand.pressure(name) * now;
+    double open = now == 0 ? ASSUMED_OPEN_REPLICAS : demand.pressure(name) * now;
     return open / replicas;
   }
 
--- a/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -235,8 +235,8 @@
 
   /**
    * Binds the members of a replica whose head is not among the boxes. A head that was observed
-   * before is dead or belongs to another replica by now, so its members are free. One that never
-   * was may still be open, so its members stay bound for a time.
+   * before is dead or belongs to another replica by now, so its members are free. A head that was
+   * never observed may still be open, so its members stay bound for a time.
    */
   private void bindHeadlessMembers(
       ObservedReplica replica, Set<ReplicaId> headsSeen, long nowNanos) {
@@ -272,7 +272,7 @@
       // The members are free only once the head is certainly dead.
       return;
     }
-    view.addComingFree(replica.members());
+    view.addSoonFree(replica.members());
     if (state.isServing()) {
       close(replica, head, state, isWhole, nowNanos);
     } else {
@@ -317,9 +317,9 @@
   }
 
   /**
-   * Closes replicas whose boxes are of more use in others, and sets how many replicas of each model
-   * the domain is to hold: before the first request those of the plan, afterwards the retained ones
-   * and the best packing of the available boxes.
+   * Closes replicas whose boxes are of more use in others, and sets the wanted number of replicas
+   * of each model: before the first request those of the plan, afterwards the retained ones and the
+   * best packing of the available boxes.
    */
   private void closeReplicas(
       List<ModelShape> models, Collection<ObservedReplica> observed, long nowNanos) {
--- a/core/src/main/java/org/shoreroad/fleet/DomainView.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainView.java
@@ -18,7 +18,7 @@
   private final Map<String, ObservedBox> observedById = new HashMap<>();
   private final Set<String> boundIds = new HashSet<>();
   private final Map<String, Integer> retained = new HashMap<>();
-  private final List<ObservedBox> comingFree = new ArrayList<>();
+  private final List<ObservedBox> soonFree = new ArrayList<>();
   private boolean isDissolving;
   private boolean hasLoss;
 
@@ -47,8 +47,8 @@
   }
 
   /** Adds the boxes of a replica that is being dissolved, which are free soon. */
-  void addComingFree(Collection<ObservedBox> members) {
-    members.stream().filter(ObservedBox::isFit).forEach(comingFree::add);
+  void addSoonFree(Collection<ObservedBox> members) {
+    members.stream().filter(ObservedBox::isFit).forEach(soonFree::add);
   }
 
   /**
@@ -94,14 +94,14 @@
   /** Returns the boxes with weights that are free, or will be when their replicas are dissolved. */
   List<ObservedBox> available() {
     List<ObservedBox> available = free();
-    available.addAll(comingFree);
+    available.addAll(soonFree);
     available.removeIf(ObservedBox::isBlank);
     return available;
   }
 
   /** Returns the number of boxes that are free or will be soon, with weights or without. */
   int availableCount() {
-    return free().size() + comingFree.size();
+    return free().size() + soonFree.size();
   }
 
   /** Returns the free boxes that can join a replica of the model soonest, at most its size. */
--- a/core/src/main/java/org/shoreroad/fleet/HostPreparation.java
+++ b/core/src/main/java/org/shoreroad/fleet/HostPreparation.java
@@ -81,12 +81,12 @@
    * small replica can serve soonest.
    */
   private static ModelShape firstToLoad(List<ModelShape> models, Demand demand) {
-    ModelShape mostPressed = models.get(0);
-    double minPressure = SMALL_FIRST_FRACTION * demand.pressure(mostPressed.name());
+    ModelShape highestPressureModel = models.get(0);
+    double minPressure = SMALL_FIRST_FRACTION * demand.pressure(highestPressureModel.name());
     return models.stream()
         .filter(model -> demand.pressure(model.name()) >= minPressure)
         .min(Comparator.comparingInt(ModelShape::boxes))
-        .orElse(mostPressed);
+        .orElse(highestPressureModel);
   }
 
   /**
@@ -96,13 +96,13 @@
   private static boolean isSparable(
       ObservedBox observed, EngineSpec spec, List<ModelShape> models, Demand demand) {
     double pressure = demand.pressure(observed.box().model());
-    boolean isPressedLess =
+    boolean hasLowerPressure =
         models.stream()
             .filter(observed::isCold)
             .findFirst()
             .filter(other -> pressure < demand.pressure(other.name()))
             .isPresent();
-    return isSmall(observed.box(), spec) && (pressure < SPARABLE_PRESSURE || isPressedLess);
+    return isSmall(observed.box(), spec) && (pressure < SPARABLE_PRESSURE || hasLowerPressure);
   }
 
   /** Returns true if the box serves in a replica of the smallest model. */
--- a/core/src/main/java/org/shoreroad/fleet/ReconcilerTiming.java
+++ b/core/src/main/java/org/shoreroad/fleet/ReconcilerTiming.java
@@ -10,11 +10,11 @@
  * @param orderRepeatNanos the time after which an order without visible effect is repeated
  * @param joinSlackNanos the time that a formation may take beyond the load time of its model
  * @param drainLimitNanos the time that running requests of a closing replica have before they are
- *     cut off
+ *     cancelled
  * @param urgentDrainLimitNanos the same for a replica that is closed after a loss to free its
  *     boxes, or whose requests still progress although a member seems to be lost
  * @param headlessNanos how long the members of a replica whose head was never observed stay bound
- * @param warmupNanos how long a spare box may take to load weights from its host
+ * @param warmupNanos the time that a spare box may take to load weights from its host
  * @since 0.2
  */
 public record ReconcilerTiming(
