--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -19,10 +19,10 @@
 import org.shoreroad.edge.sync.Fleet;
 import org.shoreroad.fleet.BoxOrder;
 import org.shoreroad.fleet.Demand;
-import org.shoreroad.fleet.DomainKeeper;
+import org.shoreroad.fleet.DomainReconciler;
 import org.shoreroad.fleet.EngineSpec;
 import org.shoreroad.fleet.FleetBox;
-import org.shoreroad.fleet.KeeperTiming;
+import org.shoreroad.fleet.ReconcilerTiming;
 import org.shoreroad.fleet.ObservedBox;
 import org.shoreroad.fleet.ObservedBox.Reach;
 import org.shoreroad.fleet.ReplicaPlan;
@@ -68,7 +68,7 @@
   private final Function<UpstreamService, Demand> demands;
   private final FailureDetector failureDetector;
   private final DomainWatch watch;
-  private final Map<String, DomainKeeper> keepers = new HashMap<>();
+  private final Map<String, DomainReconciler> keepers = new HashMap<>();
   private final Map<String, Long> suspectedSinceNanos = new HashMap<>();
   private final Map<String, ServiceDomains> domainsByService = new HashMap<>();
   private long forgottenNanos;
@@ -267,7 +267,7 @@
       Set<String> suspected,
       Demand demand) {
     long nowNanos = clockNanos.getAsLong();
-    DomainKeeper keeper = keepers.computeIfAbsent(key, name -> takeDomain(key, domain, boxes));
+    DomainReconciler keeper = keepers.computeIfAbsent(key, name -> takeDomain(key, domain, boxes));
     List<ObservedBox> observedBoxes = watch.look(key, keeper, boxes, suspected);
     boolean neededReports = keeper.needsReports();
     keeper
@@ -284,13 +284,13 @@
     }
   }
 
-  private DomainKeeper takeDomain(String key, String domain, List<FleetBox> boxes) {
+  private DomainReconciler takeDomain(String key, String domain, List<FleetBox> boxes) {
     log.write(
         "domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fencingNumber(key));
-    return new DomainKeeper(domain, KeeperTiming.DEFAULT, () -> leases.nextEpoch(key));
+    return new DomainReconciler(domain, ReconcilerTiming.DEFAULT, () -> leases.nextEpoch(key));
   }
 
-  private void give(String key, DomainKeeper keeper, EngineSpec engine, BoxOrder order) {
+  private void give(String key, DomainReconciler keeper, EngineSpec engine, BoxOrder order) {
     FleetBox box = fleet.find(order.boxId());
     if (box == null) {
       return;
@@ -307,10 +307,10 @@
             return;
           }
           if (outcome == Engines.OrderOutcome.TAKEN) {
-            keeper.noteTaken(order, clockNanos.getAsLong());
+            keeper.recordAccepted(order, clockNanos.getAsLong());
             contact.noteTaken(order, engine.reportLagMs());
           } else if (outcome == Engines.OrderOutcome.NOT_FITTING) {
-            keeper.noteUnfit(order, clockNanos.getAsLong());
+            keeper.recordRejected(order, clockNanos.getAsLong());
           }
           logOrder(order, fence, outcome);
         });
