--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
@@ -209,7 +209,11 @@
 
   /** Asks the boxes of a domain, each as often as what happens there needs. */
   private void askBoxes(
-      String key, DomainReconciler keeper, List<FleetBox> boxes, Set<String> doubtful, long nowNanos) {
+      String key,
+      DomainReconciler keeper,
+      List<FleetBox> boxes,
+      Set<String> doubtful,
+      long nowNanos) {
     if (keeper.isBusy()) {
       busyDomains.add(key);
     } else {
