--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -73,7 +73,7 @@
     return target;
   }
 
-  boolean hasLeft() {
+  boolean isSent() {
     return call != null && call.hasLeft();
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -321,7 +321,7 @@
     if (newest == null || newest.target().load() != silent || !canRepeat()) {
       return false;
     }
-    if (!newest.hasLeft() || isQuarantined() || !targets.isAnyFree() || !takeRepeat()) {
+    if (!newest.isSent() || isQuarantined() || !targets.isAnyFree() || !takeRepeat()) {
       return true;
     }
     noteFailure(newest, AttemptEnd.STALLED);
--- a/edge/src/main/java/org/shoreroad/edge/relay/OpenAttempts.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/OpenAttempts.java
@@ -45,7 +45,7 @@
 
   /** Returns true if a byte of any of them may have left this process. */
   boolean isAnySent() {
-    return open.stream().anyMatch(Attempt::hasLeft);
+    return open.stream().anyMatch(Attempt::isSent);
   }
 
   /** Cancels all but one; returns true if there was another one. */
