--- a/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
@@ -23,7 +23,7 @@
     while (upstream.heads().isEmpty()) {
       call("/again/x");
     }
-    passTime(DRAIN_MS);
+    advanceClock(DRAIN_MS);
     return upstream.heads().size();
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
@@ -119,7 +119,7 @@
               return true;
             });
     call("/again/named");
-    passTime(1_000);
+    advanceClock(1_000);
     call("/again/x");
     assertThat(limited.heads().size(), is(2));
     assertThat(logged(), not(containsString("upstream_limit_ended")));
--- a/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
@@ -220,7 +220,7 @@
   }
 
   /** Sets the clock of the relay ahead. */
-  final void passTime(int millis) {
+  final void advanceClock(int millis) {
     aheadNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
@@ -35,7 +35,7 @@
   private void callOften(String path) throws Exception {
     for (int i = 0; i < CALLS; i++) {
       call(path);
-      passTime((REST_MS - HEARD_MS) / CALLS);
+      advanceClock((REST_MS - HEARD_MS) / CALLS);
     }
   }
 
@@ -43,9 +43,9 @@
   private int beginRest(FakeUpstream upstream, String path) throws Exception {
     while (upstream.heads().isEmpty()) {
       call(path);
-      passTime(HEARD_MS / CALLS);
+      advanceClock(HEARD_MS / CALLS);
     }
-    passTime(HEARD_MS);
+    advanceClock(HEARD_MS);
     return upstream.heads().size();
   }
 
@@ -98,7 +98,7 @@
   void anUpstreamGetsRequestsAgainWhenItsRestIsOver() throws Exception {
     FakeUpstream resting = upstream("i-1", NOT_RUN);
     int before = beginRest(resting, "/again/x");
-    passTime(REST_MS);
+    advanceClock(REST_MS);
     call("/again/x");
     assertThat(resting.heads().size(), is(before + 1));
   }
@@ -128,7 +128,7 @@
               return true;
             });
     call("/again/x");
-    passTime(HEARD_MS);
+    advanceClock(HEARD_MS);
     call("/again/x");
     assertThat(refusing.heads().size(), is(2));
   }
