--- a/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
@@ -48,7 +48,7 @@
 
   private long countArrivals(String path) {
     return upstreams.stream()
-        .flatMap(upstream -> upstream.heads().stream())
+        .flatMap(upstream -> upstream.requestHeads().stream())
         .filter(head -> head.contains(" " + path + " "))
         .count();
   }
@@ -169,6 +169,6 @@
     loop.submit(() -> quarantine.learn(List.of(told))).sync();
     assertThat(answer.get(), startsWith("HTTP/1.1 502"));
     assertThat(closed.await(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS), is(true));
-    assertThat(upstream.heads().size(), is(1));
+    assertThat(upstream.requestHeads().size(), is(1));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/FakeUpstream.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/FakeUpstream.java
@@ -19,7 +19,7 @@
 final class FakeUpstream implements AutoCloseable {
   private final ServerSocket listening;
   private final Script script;
-  private final List<String> heads = new CopyOnWriteArrayList<>();
+  private final List<String> requestHeads = new CopyOnWriteArrayList<>();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
   FakeUpstream(Script script) throws IOException {
@@ -42,8 +42,8 @@
     return "127.0.0.1:" + listening.getLocalPort();
   }
 
-  List<String> heads() {
-    return heads;
+  List<String> requestHeads() {
+    return requestHeads;
   }
 
   static String header(String head, String name) {
@@ -79,7 +79,7 @@
         if (head.isEmpty()) {
           return;
         }
-        heads.add(head);
+        requestHeads.add(head);
         if (!script.answer(head, socket.getOutputStream(), socket)) {
           return;
         }
--- a/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
@@ -20,11 +20,11 @@
 
   /** Calls until the upstream has had a request, and returns how many it has had 2 s later. */
   private int beginLeaving(FakeUpstream upstream) throws Exception {
-    while (upstream.heads().isEmpty()) {
+    while (upstream.requestHeads().isEmpty()) {
       call("/again/x");
     }
     advanceClock(DRAIN_MS);
-    return upstream.heads().size();
+    return upstream.requestHeads().size();
   }
 
   private void callOften() throws Exception {
@@ -39,7 +39,7 @@
     upstream("i-2", SERVING);
     int before = beginLeaving(leaving);
     callOften();
-    assertThat(leaving.heads().size(), is(before));
+    assertThat(leaving.requestHeads().size(), is(before));
   }
 
   /** Its entry may be written anew before the list tells of the leaving. */
@@ -51,7 +51,7 @@
     list("i-1", leaving);
     list("i-2", serving);
     callOften();
-    assertThat(leaving.heads().size(), is(before));
+    assertThat(leaving.requestHeads().size(), is(before));
   }
 
   @Test
@@ -64,6 +64,6 @@
               return true;
             });
     callOften();
-    assertThat(staying.heads().size(), is(CALLS));
+    assertThat(staying.requestHeads().size(), is(CALLS));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
@@ -36,8 +36,8 @@
     assertThat(call("/again/x"), containsString("served"));
     FakeUpstream other = upstream("i-2", naming("1000"));
     assertThat(call("/again/x"), containsString("served"));
-    assertThat(limited.heads().size(), is(1));
-    assertThat(other.heads().size(), is(1));
+    assertThat(limited.requestHeads().size(), is(1));
+    assertThat(other.requestHeads().size(), is(1));
     assertThat(
         logged(),
         containsString(
@@ -54,7 +54,7 @@
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(answer.toLowerCase(), containsString("x-shoreroad-reason: held_back"));
     assertThat(answer.toLowerCase(), containsString("retry-after: "));
-    assertThat(limited.heads().size(), is(1));
+    assertThat(limited.requestHeads().size(), is(1));
   }
 
   @Test
@@ -63,7 +63,7 @@
     FakeUpstream limited = upstream(HEAD_PREFIX + "1", naming(HARDLY_ANY));
     call("/llm/x");
     assertThat(call("/llm/x"), startsWith("HTTP/1.1 503"));
-    assertThat(limited.heads().size(), is(1));
+    assertThat(limited.requestHeads().size(), is(1));
   }
 
   @Test
@@ -73,7 +73,7 @@
     LimitReport report = new LimitReport(new Incarnation("i-1", 0), new RequestLimit(0), 0);
     loop.submit(() -> backpressure.learn(List.of(report))).sync();
     assertThat(call("/again/x"), startsWith("HTTP/1.1 503"));
-    assertThat(limited.heads().size(), is(0));
+    assertThat(limited.requestHeads().size(), is(0));
   }
 
   @Test
@@ -100,7 +100,7 @@
     for (int i = 0; i < 3; i++) {
       assertThat(call("/again/x"), containsString("served"));
     }
-    assertThat(upstream.heads().size(), is(3));
+    assertThat(upstream.requestHeads().size(), is(3));
     assertThat(logged(), not(containsString("upstream_limit")));
   }
 
@@ -121,7 +121,7 @@
     call("/again/named");
     advanceClock(1_000);
     call("/again/x");
-    assertThat(limited.heads().size(), is(2));
+    assertThat(limited.requestHeads().size(), is(2));
     assertThat(logged(), not(containsString("upstream_limit_ended")));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
@@ -26,7 +26,7 @@
     assertThat(answer, startsWith("HTTP/1.1 200"));
     assertThat(answer, containsString("X-Seal: s"));
     assertThat(answer, containsString("\r\n\r\nhello"));
-    String head = upstream.heads().get(0);
+    String head = upstream.requestHeads().get(0);
     assertThat(head, startsWith("GET /once/x?y=1 HTTP/1.1"));
     assertThat(FakeUpstream.header(head, "X-Account"), is("office"));
     assertThat(FakeUpstream.header(head, "X-Expect"), is("i-1"));
@@ -82,7 +82,7 @@
     FakeUpstream one = upstream("i-1", reset);
     FakeUpstream two = upstream("i-2", reset);
     assertThat(call("/once/"), startsWith("HTTP/1.1 502"));
-    assertThat(one.heads().size() + two.heads().size(), is(1));
+    assertThat(one.requestHeads().size() + two.requestHeads().size(), is(1));
   }
 
   @Test
@@ -174,7 +174,7 @@
     String answer = call("/once/");
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(answer.toLowerCase(), containsString("retry-after"));
-    assertThat(upstream.heads().isEmpty(), is(true));
+    assertThat(upstream.requestHeads().isEmpty(), is(true));
   }
 
   @Test
@@ -188,7 +188,7 @@
     FakeUpstream upstream = upstream("i-1", (head, out, socket) -> true);
     loop.submit(relay::refuseNew).sync();
     assertThat(call("/once/"), startsWith("HTTP/1.1 503"));
-    assertThat(upstream.heads().isEmpty(), is(true));
+    assertThat(upstream.requestHeads().isEmpty(), is(true));
   }
 
   @Test
--- a/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
@@ -41,17 +41,17 @@
 
   /** Begins a rest, and returns how many requests came until then. */
   private int beginRest(FakeUpstream upstream, String path) throws Exception {
-    while (upstream.heads().isEmpty()) {
+    while (upstream.requestHeads().isEmpty()) {
       call(path);
       advanceClock(HEARD_MS / CALLS);
     }
     advanceClock(HEARD_MS);
-    return upstream.heads().size();
+    return upstream.requestHeads().size();
   }
 
   private void checkRest(FakeUpstream resting, int before, String path) throws Exception {
     callOften(path);
-    assertThat(resting.heads().size() - before, lessThanOrEqualTo(ALLOWED));
+    assertThat(resting.requestHeads().size() - before, lessThanOrEqualTo(ALLOWED));
   }
 
   @Test
@@ -100,7 +100,7 @@
     int before = beginRest(resting, "/again/x");
     advanceClock(REST_MS);
     call("/again/x");
-    assertThat(resting.heads().size(), is(before + 1));
+    assertThat(resting.requestHeads().size(), is(before + 1));
   }
 
   @Test
@@ -111,7 +111,7 @@
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(answer.toLowerCase(), containsString("x-shoreroad-reason: held_back"));
     assertThat(answer.toLowerCase(), containsString("retry-after: "));
-    assertThat(resting.heads().size(), is(before));
+    assertThat(resting.requestHeads().size(), is(before));
   }
 
   /** Date forms and other texts are no time: the upstream is passed over for a moment only. */
@@ -130,6 +130,6 @@
     call("/again/x");
     advanceClock(HEARD_MS);
     call("/again/x");
-    assertThat(refusing.heads().size(), is(2));
+    assertThat(refusing.requestHeads().size(), is(2));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/StalledStreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/StalledStreamTest.java
@@ -34,6 +34,6 @@
     String answer = call("/llm/");
     assertThat(answer, containsString("id: 2\ndata: b\n\n"));
     assertThat(answer, endsWith("0\r\n\r\n"));
-    assertThat(one.heads().size() + two.heads().size(), is(1));
+    assertThat(one.requestHeads().size() + two.requestHeads().size(), is(1));
   }
 }
