--- a/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
@@ -36,7 +36,7 @@
           write(out, "HTTP/1.1 200 OK\r\nX-Attempt: a1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\n");
           return false;
         }
-        write(out, whole(head, "served"));
+        write(out, wholeAnswer(head, "served"));
         return true;
       };
 
--- a/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
@@ -14,7 +14,7 @@
 
   private static final FakeUpstream.Script LEAVING =
       (head, out, socket) -> {
-        write(out, whole(head, "served").replace("X-Seal", "X-Leaving: 1\r\nX-Seal"));
+        write(out, wholeAnswer(head, "served").replace("X-Seal", "X-Leaving: 1\r\nX-Seal"));
         return true;
       };
 
@@ -60,7 +60,7 @@
         upstream(
             "i-1",
             (head, out, socket) -> {
-              write(out, whole(head, "served").replace("X-Seal", "X-Leaving: 0\r\nX-Seal"));
+              write(out, wholeAnswer(head, "served").replace("X-Seal", "X-Leaving: 0\r\nX-Seal"));
               return true;
             });
     callOften();
--- a/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LimitedUpstreamTest.java
@@ -20,7 +20,7 @@
 
   private static FakeUpstream.Script naming(String limit) {
     return (head, out, socket) -> {
-      write(out, whole(head, "served").replace("X-Seal", "X-Limit: " + limit + "\r\nX-Seal"));
+      write(out, wholeAnswer(head, "served").replace("X-Seal", "X-Limit: " + limit + "\r\nX-Seal"));
       return true;
     };
   }
--- a/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
@@ -238,7 +238,7 @@
   /** Answers each request in whole. */
   static final FakeUpstream.Script SERVING =
       (head, out, socket) -> {
-        write(out, whole(head, "served"));
+        write(out, wholeAnswer(head, "served"));
         return true;
       };
 
@@ -260,7 +260,7 @@
     out.flush();
   }
 
-  static String whole(String head, String body) {
+  static String wholeAnswer(String head, String body) {
     return "HTTP/1.1 200 OK\r\nX-Attempt: "
         + FakeUpstream.header(head, "X-Attempt")
         + "\r\nX-Seal: s\r\nContent-Length: "
--- a/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
@@ -19,7 +19,7 @@
         upstream(
             "i-1",
             (head, out, socket) -> {
-              write(out, whole(head, "hello"));
+              write(out, wholeAnswer(head, "hello"));
               return true;
             });
     String answer = call("/once/x?y=1");
@@ -42,7 +42,7 @@
           write(
               out,
               "HTTP/1.1 200 OK\r\nX-Attempt: old\r\nX-Seal: o\r\nContent-Length: 3\r\n\r\nold");
-          write(out, whole(head, "mine"));
+          write(out, wholeAnswer(head, "mine"));
           return true;
         });
     assertThat(call("/once/"), containsString("\r\n\r\nmine"));
@@ -96,7 +96,7 @@
               return false;
             }
           }
-          write(out, whole(head, "second"));
+          write(out, wholeAnswer(head, "second"));
           return true;
         };
     upstream("i-1", firstFails);
