--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -124,7 +124,7 @@
     }
     boolean isSuccess = response.status().codeClass() == HttpStatusClass.SUCCESS;
     if (isSuccess && !isMarked) {
-      fail(AttemptEnd.BROKEN);
+      fail(AttemptFailure.BROKEN);
       return true;
     }
     if (isSuccess && exchange.isStream()) {
@@ -153,8 +153,8 @@
     if (events != null) {
       exchange.onProgress(this);
       measurePace(nowNanos);
-      if (!events.take(content)) {
-        fail(AttemptEnd.BROKEN);
+      if (!events.add(content)) {
+        fail(AttemptFailure.BROKEN);
       }
     } else if (body != null) {
       body.addComponent(true, content.retain());
@@ -179,7 +179,7 @@
       long avoidNanos = isMisdirected(answered) ? AVOID_NANOS : FULL_NANOS;
       target.load().avoidUntil(relay.nowNanos() + avoidNanos);
       end();
-      exchange.onAttemptFailed(this, AttemptEnd.REFUSED);
+      exchange.onAttemptFailed(this, AttemptFailure.REFUSED);
     } else if (events != null) {
       endStream(events);
     } else {
@@ -188,8 +188,8 @@
   }
 
   private void endStream(EventRelay relayed) {
-    if (relayed.hasPart()) {
-      fail(AttemptEnd.BROKEN);
+    if (relayed.hasPartialEvent()) {
+      fail(AttemptFailure.BROKEN);
       return;
     }
     target.load().recordOutcome(false);
@@ -200,9 +200,9 @@
   private void endWhole(HttpResponse answered) {
     boolean hasFailed = answered.status().codeClass() == HttpStatusClass.SERVER_ERROR;
     target.load().recordOutcome(hasFailed);
-    if (exchange.hasBegun() || (hasFailed && exchange.canSpare(this))) {
+    if (exchange.hasBegun() || (hasFailed && exchange.canContinueWithout(this))) {
       end();
-      exchange.onAttemptFailed(this, AttemptEnd.FAILED);
+      exchange.onAttemptFailed(this, AttemptFailure.FAILED);
       return;
     }
     ByteBuf whole = body == null ? Unpooled.EMPTY_BUFFER : body;
@@ -221,16 +221,16 @@
         target.load().avoidUntil(relay.nowNanos() + AVOID_NANOS);
       }
       end();
-      exchange.onAttemptFailed(this, AttemptEnd.NOT_SENT);
+      exchange.onAttemptFailed(this, AttemptFailure.NOT_SENT);
       return;
     }
     target.load().recordOutcome(true);
     end();
     boolean isLost = failure.reason() == CallFailure.Reason.BROKEN;
-    exchange.onAttemptFailed(this, isLost ? AttemptEnd.DISCONNECTED : AttemptEnd.BROKEN);
+    exchange.onAttemptFailed(this, isLost ? AttemptFailure.DISCONNECTED : AttemptFailure.BROKEN);
   }
 
-  private void fail(AttemptEnd why) {
+  private void fail(AttemptFailure why) {
     target.load().recordOutcome(true);
     cancel();
     exchange.onAttemptFailed(this, why);
--- a/edge/src/main/java/org/shoreroad/edge/relay/AttemptEnd.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/AttemptFailure.java
@@ -7,7 +7,7 @@
  *
  * @since 0.2
  */
-enum AttemptEnd {
+enum AttemptFailure {
   /** Nothing of the request left this process. */
   NOT_SENT,
   /** The upstream answered that it did not run the request. */
--- a/edge/src/main/java/org/shoreroad/edge/relay/EventRelay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/EventRelay.java
@@ -39,7 +39,7 @@
   }
 
   /** Takes bytes; returns false if they can't be events. */
-  boolean take(ByteBuf bytes) {
+  boolean add(ByteBuf bytes) {
     return splitter.add(bytes, this::pass);
   }
 
@@ -67,8 +67,8 @@
   }
 
   /** Returns true if the upstream stopped in the middle of an event. */
-  boolean hasPart() {
-    return splitter.hasPart();
+  boolean hasPartialEvent() {
+    return splitter.hasPartialEvent();
   }
 
   void release() {
--- a/edge/src/main/java/org/shoreroad/edge/relay/EventSplitter.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/EventSplitter.java
@@ -59,7 +59,7 @@
   }
 
   /** Returns true if the bytes so far end in the middle of an event. */
-  boolean hasPart() {
+  boolean hasPartialEvent() {
     return waiting.isReadable();
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -156,7 +156,7 @@
     // A stream that was begun waits for another replica as long as there is time.
     if (hasBegun() || mayWait) {
       isWaiting = true;
-      relay.await(this);
+      relay.addWaiting(this);
       return;
     }
     if (isHeldBack) {
@@ -223,7 +223,7 @@
           new EventRelay(answers, relay::nowNanos, request.arrivedNanos(), reader.lastEventId());
       events = begun;
       relay.counters().record("shoreroad.first_head", relay.nowNanos() - request.arrivedNanos());
-      answers.begin(head.status(), HopHeaders.copyWithout(head.headers()));
+      answers.begin(head.status(), HopByHopHeaders.copyWithout(head.headers()));
     }
     return begun;
   }
@@ -242,7 +242,7 @@
     relay.counters().record("shoreroad.answer", relay.nowNanos() - request.arrivedNanos());
     relay.quarantine().recordAnswer(this::fingerprint);
     finish(RequestEnd.ANSWERED);
-    answers.answer(head.status(), HopHeaders.copyWithout(head.headers()), body);
+    answers.answer(head.status(), HopByHopHeaders.copyWithout(head.headers()), body);
   }
 
   /** Ends a stream that came to its own end. */
@@ -257,8 +257,8 @@
   }
 
   /** Decides what follows when an attempt brought nothing that can be passed on. */
-  void onAttemptFailed(Attempt failed, AttemptEnd end) {
-    if (end != AttemptEnd.NOT_SENT && end != AttemptEnd.REFUSED) {
+  void onAttemptFailed(Attempt failed, AttemptFailure end) {
+    if (end != AttemptFailure.NOT_SENT && end != AttemptFailure.REFUSED) {
       // Before the failure is noted: that may quarantine this request and answer it.
       sends.recordMayHaveRun();
     }
@@ -268,7 +268,7 @@
     if (isOver || !isNewest) {
       return;
     }
-    if (end == AttemptEnd.NOT_SENT) {
+    if (end == AttemptFailure.NOT_SENT) {
       sends.recordUnsent(failed.target().box().id());
       retryUnsent();
     } else if (mayRepeatAfter(end)) {
@@ -278,14 +278,14 @@
       abort(end.name(), RequestEnd.CUT);
     } else {
       refuseOrFail(
-          end == AttemptEnd.REFUSED ? Refusal.UPSTREAM_REFUSED : Refusal.UPSTREAM_FAILED,
+          end == AttemptFailure.REFUSED ? Refusal.UPSTREAM_REFUSED : Refusal.UPSTREAM_FAILED,
           RetryAfter.PLACE);
     }
   }
 
-  private boolean mayRepeatAfter(AttemptEnd end) {
+  private boolean mayRepeatAfter(AttemptFailure end) {
     Route of = route;
-    boolean isAllowed = of != null && (end == AttemptEnd.REFUSED || of.isRepeatable());
+    boolean isAllowed = of != null && (end == AttemptFailure.REFUSED || of.isRepeatable());
     // With an earlier upstream still at work, a repeat is worth it only where it can be sent.
     return isAllowed
         && sends.hasLeft()
@@ -324,9 +324,9 @@
     if (!newest.isSent() || isQuarantined() || !targets.isAnyFree() || !takeRepeat()) {
       return true;
     }
-    noteFailure(newest, AttemptEnd.STALLED);
+    noteFailure(newest, AttemptFailure.STALLED);
     sends.recordMayHaveRun();
-    relay.counters().count("shoreroad.retries", AttemptEnd.STALLED.code());
+    relay.counters().count("shoreroad.retries", AttemptFailure.STALLED.code());
     send();
     return false;
   }
@@ -378,7 +378,7 @@
       abort(refusal.code(), RequestEnd.CUT);
       return;
     }
-    boolean isFalse = refusal.isPromise() && sends.mayHaveRun();
+    boolean isFalse = refusal.promisesNotRun() && sends.mayHaveRun();
     refuse(isFalse ? Refusal.UPSTREAM_FAILED : refusal, retryAfter);
   }
 
@@ -387,7 +387,7 @@
     log.write("request_refused", "reason", refusal.code());
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set("X-Shoreroad-Reason", refusal.code());
-    if (refusal.isPromise()) {
+    if (refusal.promisesNotRun()) {
       headers.set(HttpHeaderNames.RETRY_AFTER, retryAfter.headerValue(relay.random()));
     }
     finish(refusal.end());
@@ -401,9 +401,9 @@
     answers.abort();
   }
 
-  private void noteFailure(Attempt failed, AttemptEnd end) {
+  private void noteFailure(Attempt failed, AttemptFailure end) {
     relay.counters().count("shoreroad.attempts.failed", end.code());
-    boolean isCrash = end == AttemptEnd.DISCONNECTED;
+    boolean isCrash = end == AttemptFailure.DISCONNECTED;
     log.writeFailure(failed, end, isCrash ? fingerprint() : null);
     if (isCrash) {
       Crash crash = new Crash(failed.target().box().incarnation(), failed.hasHead());
@@ -434,7 +434,7 @@
   }
 
   /** Returns true if the request goes on without this attempt. */
-  boolean canSpare(Attempt failed) {
+  boolean canContinueWithout(Attempt failed) {
     return attempts.hasOther(failed) || canRepeat();
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
@@ -72,7 +72,7 @@
    * @param fingerprint what identifies the request when its caller returns, or null if it has
    *     crashed no upstream
    */
-  void writeFailure(Attempt failed, AttemptEnd end, @Nullable RequestFingerprint fingerprint) {
+  void writeFailure(Attempt failed, AttemptFailure end, @Nullable RequestFingerprint fingerprint) {
     Target target = failed.target();
     ends.add(target.box().id() + ":" + end);
     write(
--- a/edge/src/main/java/org/shoreroad/edge/relay/HopHeaders.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/HopByHopHeaders.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Headers that concern one connection and are not passed on. */
-final class HopHeaders {
+final class HopByHopHeaders {
   private static final List<CharSequence> NAMES =
       List.of(
           HttpHeaderNames.CONNECTION,
@@ -20,7 +20,7 @@
           HttpHeaderNames.UPGRADE,
           HttpHeaderNames.EXPECT);
 
-  private HopHeaders() {}
+  private HopByHopHeaders() {}
 
   /** Returns a copy without the headers of one connection, and those that the sender names so. */
   static HttpHeaders copyWithout(HttpHeaders headers) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/Refusal.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Refusal.java
@@ -36,7 +36,7 @@
   }
 
   /** Returns true if the answer promises that the request has not run. */
-  boolean isPromise() {
+  boolean promisesNotRun() {
     return status == HttpResponseStatus.SERVICE_UNAVAILABLE;
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
@@ -151,7 +151,7 @@
   }
 
   /** Looks for a place again soon, for as long as the request waits. */
-  void await(Exchange exchange) {
+  void addWaiting(Exchange exchange) {
     waiting.add(exchange);
     if (!isTicking) {
       isTicking = true;
--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestReader.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestReader.java
@@ -104,7 +104,7 @@
       @Nullable ClientAccount account,
       int rank,
       long lastEventId) {
-    HttpHeaders headers = HopHeaders.copyWithout(request.headers());
+    HttpHeaders headers = HopByHopHeaders.copyWithout(request.headers());
     headers.remove(HttpHeaderNames.AUTHORIZATION);
     headers.remove(names.account());
     headers.remove(names.rank());
--- a/edge/src/test/java/org/shoreroad/edge/relay/EventSplitterTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/EventSplitterTest.java
@@ -35,7 +35,7 @@
     add("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\n");
     assertThat(events, contains("id: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n"));
     assertThat(ids, contains(1L, 2L));
-    assertThat(splitter.hasPart(), is(true));
+    assertThat(splitter.hasPartialEvent(), is(true));
   }
 
   @Test
@@ -45,7 +45,7 @@
     assertThat(events.isEmpty(), is(true));
     add("\n");
     assertThat(ids, contains(4L));
-    assertThat(splitter.hasPart(), is(false));
+    assertThat(splitter.hasPartialEvent(), is(false));
   }
 
   @Test
--- a/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
@@ -183,7 +183,7 @@
   }
 
   /** Returns how many requests have ended so. */
-  final long ended(RequestEnd end) throws Exception {
+  final long endedCount(RequestEnd end) throws Exception {
     String prefix = "shoreroad_requests_ended_total{reason=\"" + end.code() + "\"}";
     return loop.submit(() -> sumOfMetrics(prefix)).get();
   }
--- a/edge/src/test/java/org/shoreroad/edge/relay/RequestEndTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RequestEndTest.java
@@ -21,28 +21,28 @@
   void aWholeAnswerIsCounted() throws Exception {
     upstream("i-1", SERVING);
     call("/once/");
-    assertThat(ended(RequestEnd.ANSWERED), is(1L));
+    assertThat(endedCount(RequestEnd.ANSWERED), is(1L));
   }
 
   @Test
   void aRefusalIsCounted() throws Exception {
     call("/once/");
     call("/nowhere/");
-    assertThat(ended(RequestEnd.REFUSED), is(2L));
+    assertThat(endedCount(RequestEnd.REFUSED), is(2L));
   }
 
   @Test
   void aFailureOfTheUpstreamIsCounted() throws Exception {
     upstream("i-1", (head, out, socket) -> false);
     assertThat(call("/once/"), startsWith("HTTP/1.1 502"));
-    assertThat(ended(RequestEnd.FAILED), is(1L));
+    assertThat(endedCount(RequestEnd.FAILED), is(1L));
   }
 
   @Test
   void theEndOfTheTimeIsCounted() throws Exception {
     upstream("i-1", NEVER);
     assertThat(call("/once/"), startsWith("HTTP/1.1 504"));
-    assertThat(ended(RequestEnd.TIMED_OUT), is(1L));
+    assertThat(endedCount(RequestEnd.TIMED_OUT), is(1L));
   }
 
   @Test
@@ -50,7 +50,7 @@
     upstream("i-1", BREAKS_OFF_MIDWAY);
     upstream("i-2", BREAKS_OFF_MIDWAY);
     call("/stream/");
-    assertThat(ended(RequestEnd.CUT), is(1L));
+    assertThat(endedCount(RequestEnd.CUT), is(1L));
   }
 
   @Test
@@ -66,7 +66,7 @@
     caller.start();
     arrived.await();
     loop.submit(relay::endAll).sync();
-    assertThat(ended(RequestEnd.PROCESS_ENDED), is(1L));
+    assertThat(endedCount(RequestEnd.PROCESS_ENDED), is(1L));
     assertThat(logged(), containsString("\"request_unanswered\""));
     caller.interrupt();
   }
