--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -14,16 +14,19 @@
 import org.shoreroad.fleet.Incarnation;
 
 /**
- * One sending of a request to one upstream; used on the event loop only.
+ * One attempt to get a request answered by one upstream; used on the event loop only.
  *
  * @since 0.2
  */
 final class Attempt implements CallListener {
-  /** How long an upstream that could not be reached is passed over. */
+  /**
+   * Time for which an upstream is skipped after it could not be reached, or after a different
+   * upstream answered at its address.
+   */
   private static final long AVOID_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** How long an upstream that said it is full is passed over. */
-  private static final long FULL_NANOS = TimeUnit.MILLISECONDS.toNanos(60);
+  /** Time for which an upstream is skipped after it answered that it is full. */
+  private static final long AVOID_FULL_NANOS = TimeUnit.MILLISECONDS.toNanos(60);
 
   private final Exchange exchange;
   private final Relay relay;
@@ -56,8 +59,11 @@
             .send(target.box().address(), exchange.toUpstreamRequest(target), maxConnections, this);
   }
 
-  /** Checked again, since the upstream may have asked for less while the connection was opened. */
-  private boolean isStillWanted() {
+  /**
+   * Returns true if the upstream's limit and rest still permit the request. Checked again, since
+   * the upstream may have asked for fewer requests while the connection was opened.
+   */
+  private boolean isStillPermitted() {
     if (relay.backpressure().isResting(upstream)) {
       relay.counters().count("shoreroad.attempts.to_resting", "withdrawn");
       return false;
@@ -77,7 +83,7 @@
     return call != null && call.hasLeft();
   }
 
-  /** Returns true once the upstream has begun to answer, so that it runs the request. */
+  /** Returns true once the upstream has begun to answer, which shows that it runs the request. */
   boolean hasHead() {
     return head != null;
   }
@@ -99,7 +105,7 @@
 
   @Override
   public boolean onSending() {
-    if (!exchange.maySendNow() || !isStillWanted()) {
+    if (!exchange.maySendNow() || !isStillPermitted()) {
       return false;
     }
     exchange.onSent(target);
@@ -108,9 +114,9 @@
 
   @Override
   public boolean onHead(HttpResponse response) {
-    String echoed = response.headers().get(relay.headers().attemptId());
-    boolean isMarked = response.headers().contains(relay.headers().seal());
-    if (echoed == null ? isMarked : !echoed.equals(exchange.attemptId())) {
+    String echoedId = response.headers().get(relay.headers().attemptId());
+    boolean isSealed = response.headers().contains(relay.headers().seal());
+    if (echoedId == null ? isSealed : !echoedId.equals(exchange.attemptId())) {
       relay.counters().count("shoreroad.answers.passed_over", "other_request");
       return false;
     }
@@ -123,12 +129,12 @@
       return true;
     }
     boolean isSuccess = response.status().codeClass() == HttpStatusClass.SUCCESS;
-    if (isSuccess && !isMarked) {
+    if (isSuccess && !isSealed) {
       fail(AttemptFailure.BROKEN);
       return true;
     }
     if (isSuccess && exchange.isStream()) {
-      notePromptRead();
+      recordPromptRead();
       events = exchange.onStreamHead(this, response);
       events.restart();
     } else {
@@ -141,7 +147,7 @@
     return response.headers().contains(relay.headers().notRun()) || isMisdirected(response);
   }
 
-  /** Returns true if another upstream than the one meant has answered. */
+  /** Returns true if a different upstream than the intended one has answered. */
   private static boolean isMisdirected(HttpResponse response) {
     return response.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST);
   }
@@ -152,7 +158,7 @@
     target.load().recordProgress(nowNanos);
     if (events != null) {
       exchange.onProgress(this);
-      measurePace(nowNanos);
+      recordPace(nowNanos);
       if (!events.add(content)) {
         fail(AttemptFailure.BROKEN);
       }
@@ -161,7 +167,7 @@
     }
   }
 
-  private void measurePace(long nowNanos) {
+  private void recordPace(long nowNanos) {
     if (lastEventNanos != 0) {
       double passMs = exchange.passMs(target.load());
       target.load().pace().record(nowNanos - lastEventNanos, passMs, nowNanos);
@@ -171,19 +177,19 @@
 
   @Override
   public void onEnd() {
-    HttpResponse answered = head;
-    if (isOver || answered == null) {
+    HttpResponse response = head;
+    if (isOver || response == null) {
       return;
     }
-    if (isRefusal(answered)) {
-      long avoidNanos = isMisdirected(answered) ? AVOID_NANOS : FULL_NANOS;
+    if (isRefusal(response)) {
+      long avoidNanos = isMisdirected(response) ? AVOID_NANOS : AVOID_FULL_NANOS;
       target.load().avoidUntil(relay.nowNanos() + avoidNanos);
       end();
       exchange.onAttemptFailed(this, AttemptFailure.REFUSED);
     } else if (events != null) {
       endStream(events);
     } else {
-      endWhole(answered);
+      endWholeAnswer(response);
     }
   }
 
@@ -197,18 +203,18 @@
     exchange.onStreamEnd();
   }
 
-  private void endWhole(HttpResponse answered) {
-    boolean hasFailed = answered.status().codeClass() == HttpStatusClass.SERVER_ERROR;
+  private void endWholeAnswer(HttpResponse response) {
+    boolean hasFailed = response.status().codeClass() == HttpStatusClass.SERVER_ERROR;
     target.load().recordOutcome(hasFailed);
     if (exchange.hasBegun() || (hasFailed && exchange.canContinueWithout(this))) {
       end();
       exchange.onAttemptFailed(this, AttemptFailure.FAILED);
       return;
     }
-    ByteBuf whole = body == null ? Unpooled.EMPTY_BUFFER : body;
+    ByteBuf content = body == null ? Unpooled.EMPTY_BUFFER : body;
     body = null;
     end();
-    exchange.onWholeAnswer(answered, whole);
+    exchange.onWholeAnswer(response, content);
   }
 
   @Override
@@ -226,17 +232,17 @@
     }
     target.load().recordOutcome(true);
     end();
-    boolean isLost = failure.reason() == CallFailure.Reason.BROKEN;
-    exchange.onAttemptFailed(this, isLost ? AttemptFailure.DISCONNECTED : AttemptFailure.BROKEN);
+    boolean isDisconnected = failure.reason() == CallFailure.Reason.BROKEN;
+    exchange.onAttemptFailed(this, isDisconnected ? AttemptFailure.DISCONNECTED : AttemptFailure.BROKEN);
   }
 
-  private void fail(AttemptFailure why) {
+  private void fail(AttemptFailure failure) {
     target.load().recordOutcome(true);
     cancel();
-    exchange.onAttemptFailed(this, why);
+    exchange.onAttemptFailed(this, failure);
   }
 
-  private void notePromptRead() {
+  private void recordPromptRead() {
     if (!isPromptRead) {
       isPromptRead = true;
       target.load().promptRead(exchange.promptTokens());
--- a/edge/src/main/java/org/shoreroad/edge/relay/AttemptFailure.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/AttemptFailure.java
@@ -3,22 +3,22 @@
 import java.util.Locale;
 
 /**
- * How an attempt ended that brought nothing to pass on.
+ * Reason why an attempt brought no answer that can be forwarded.
  *
  * @since 0.2
  */
 enum AttemptFailure {
-  /** Nothing of the request left this process. */
+  /** No byte of the request left this process. */
   NOT_SENT,
   /** The upstream answered that it did not run the request. */
   REFUSED,
   /** The upstream answered that the request failed. */
   FAILED,
-  /** The connection ended before the answer was whole, as it does when an upstream crashes. */
+  /** The connection ended before the answer was complete, as it does when an upstream crashes. */
   DISCONNECTED,
-  /** The answer was out of form. */
+  /** The answer was malformed. */
   BROKEN,
-  /** Nothing came for too long; the attempt stays open until another upstream answers. */
+  /** Nothing was received for too long; the attempt stays open until another upstream answers. */
   STALLED;
 
   /** Returns the text form for counters, such as {@code not_sent}. */
