--- a/edge/src/main/java/org/shoreroad/edge/relay/EventRelay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/EventRelay.java
@@ -5,7 +5,7 @@
 import org.shoreroad.edge.caller.AnswerChannel;
 
 /**
- * Passes the whole events of a stream on, each once, over all attempts of a request.
+ * Forwards the complete events of a stream to the caller, each once over all attempts of a request.
  *
  * <p>Used on the event loop only.
  *
@@ -19,33 +19,33 @@
   private long lastId;
 
   /**
-   * Creates a relay that has passed nothing on.
+   * Creates a relay that has forwarded no events.
    *
    * @param arrivedNanos when the request arrived, on the steady clock
-   * @param callersLastId the id of the last event that the caller has, or -1
+   * @param lastReceivedId the id of the last event that the caller has received, or -1
    */
   EventRelay(
-      AnswerChannel answers, LongSupplier clockNanos, long arrivedNanos, long callersLastId) {
+      AnswerChannel answers, LongSupplier clockNanos, long arrivedNanos, long lastReceivedId) {
     this.answers = answers;
     this.clockNanos = clockNanos;
     this.timing = new EventTiming(arrivedNanos);
-    this.lastId = callersLastId;
+    this.lastId = lastReceivedId;
   }
 
-  /** Begins with the bytes of another upstream. */
+  /** Starts the stream of another upstream; drops an incomplete event of the former one. */
   void restart() {
     splitter.clear();
     splitter = new EventSplitter();
   }
 
-  /** Takes bytes; returns false if they can't be events. */
+  /** Adds bytes and forwards complete events; returns false if an incomplete event is too large. */
   boolean add(ByteBuf bytes) {
-    return splitter.add(bytes, this::pass);
+    return splitter.add(bytes, this::forward);
   }
 
-  private void pass(ByteBuf event, long id) {
+  private void forward(ByteBuf event, long id) {
     if (id >= 0 && id <= lastId) {
-      // The caller has it already.
+      // The caller already has this event.
       event.release();
       return;
     }
@@ -56,17 +56,17 @@
     answers.send(event);
   }
 
-  /** Returns when the events were passed on. */
+  /** Returns the times at which events were forwarded. */
   EventTiming timing() {
     return timing;
   }
 
-  /** Returns the id of the last event that was passed on, or -1. */
+  /** Returns the id of the last event that was forwarded, or -1. */
   long lastId() {
     return lastId;
   }
 
-  /** Returns true if the upstream stopped in the middle of an event. */
+  /** Returns true if the bytes so far end in the middle of an event. */
   boolean hasPartialEvent() {
     return splitter.hasPartialEvent();
   }
--- a/edge/src/main/java/org/shoreroad/edge/relay/EventSplitter.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/EventSplitter.java
@@ -6,44 +6,47 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts the bytes of an event stream into whole events and reads their ids.
+ * Splits the bytes of an event stream into complete events and reads their ids.
  *
- * <p>An upstream may stop in the middle of an event; what is not whole is never passed on, so that
- * the stream can be taken up at another upstream. Used by one thread.
+ * <p>An upstream may stop in the middle of an event. Incomplete events are never forwarded, so that
+ * the stream can be resumed at another upstream. Used by one thread.
  *
  * @since 0.2
  */
 final class EventSplitter {
-  /** No event of a model is near this size; a stream without any end of event is cut here. */
+  /**
+   * Maximum size of an incomplete event, far above the size of any event of a model; a stream
+   * without any end of event fails here.
+   */
   private static final int MAX_EVENT_BYTES = 1_048_576;
 
   private static final String ID_FIELD = "id:";
   private static final long NO_ID = -1;
   private static final byte LINE_FEED = '\n';
 
-  private ByteBuf waiting = Unpooled.EMPTY_BUFFER;
+  private ByteBuf partial = Unpooled.EMPTY_BUFFER;
 
-  /** Hears the whole events. */
+  /** Receives the complete events. */
   interface Sink {
     /**
-     * Takes one event.
+     * Receives one event.
      *
-     * @param event its bytes with the blank line that ends it; the taker releases them
-     * @param id its id, or -1 if it has none that is a number
+     * @param event the bytes, including the blank line at the end; the receiver releases them
+     * @param id the id, or -1 if the event has no numeric id
      */
     void onEvent(ByteBuf event, long id);
   }
 
   /**
-   * Adds bytes and passes on every event that is whole now.
+   * Adds bytes and passes every event that is now complete to the sink.
    *
-   * @param bytes the bytes; released by their owner
-   * @param sink takes the events
-   * @return false if an event is larger than any can be
+   * @param bytes the bytes; the caller of this method releases them
+   * @param sink receives the events
+   * @return false if the incomplete event exceeds the maximum size
    */
   boolean add(ByteBuf bytes, Sink sink) {
-    ByteBuf all = waiting.isReadable() ? Unpooled.wrappedBuffer(waiting, bytes.retain()) : bytes;
-    boolean isOwned = all != bytes;
+    ByteBuf all = partial.isReadable() ? Unpooled.wrappedBuffer(partial, bytes.retain()) : bytes;
+    boolean isCombined = all != bytes;
     int end = findEventEnd(all);
     while (end >= 0) {
       ByteBuf event = Unpooled.copiedBuffer(all.readSlice(end - all.readerIndex()));
@@ -51,25 +54,25 @@
       end = findEventEnd(all);
     }
     ByteBuf rest = all.isReadable() ? Unpooled.copiedBuffer(all) : Unpooled.EMPTY_BUFFER;
-    if (isOwned) {
+    if (isCombined) {
       all.release();
     }
-    waiting = rest;
+    partial = rest;
     return rest.readableBytes() <= MAX_EVENT_BYTES;
   }
 
   /** Returns true if the bytes so far end in the middle of an event. */
   boolean hasPartialEvent() {
-    return waiting.isReadable();
+    return partial.isReadable();
   }
 
-  /** Forgets what is not whole. */
+  /** Drops an incomplete event. */
   void clear() {
-    waiting.release();
-    waiting = Unpooled.EMPTY_BUFFER;
+    partial.release();
+    partial = Unpooled.EMPTY_BUFFER;
   }
 
-  /** Returns the index after the blank line that ends the first event, or -1. */
+  /** Returns the index after the blank line at the end of the first event, or -1. */
   private static int findEventEnd(ByteBuf bytes) {
     int from = bytes.readerIndex();
     while (true) {
@@ -90,7 +93,7 @@
     }
   }
 
-  /** Returns the id in the first id field of the event, or -1 if there is none or no number. */
+  /** Returns the id in the first id field of the event, or -1 if it is missing or not a number. */
   private static long readId(ByteBuf event) {
     int end = event.writerIndex();
     int lineStart = event.readerIndex();
--- a/edge/src/main/java/org/shoreroad/edge/relay/package-info.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/package-info.java
@@ -1,4 +1,4 @@
-/** The way of one request: admission, attempts at upstreams, resumption and the answer. */
+/** Relay of requests to upstreams: admission, attempts, resumption of streams and the answer. */
 @NullMarked
 package org.shoreroad.edge.relay;
 
