--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -233,7 +233,8 @@
     target.load().recordOutcome(true);
     end();
     boolean isDisconnected = failure.reason() == CallFailure.Reason.BROKEN;
-    exchange.onAttemptFailed(this, isDisconnected ? AttemptFailure.DISCONNECTED : AttemptFailure.BROKEN);
+    exchange.onAttemptFailed(
+        this, isDisconnected ? AttemptFailure.DISCONNECTED : AttemptFailure.BROKEN);
   }
 
   private void fail(AttemptFailure failure) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -23,18 +23,23 @@
 import org.shoreroad.traffic.UpstreamService;
 
 /**
- * One request from its arrival to its last byte: admission, attempts, resumption, answer.
+ * Exchange of one request and its answer, from the arrival to the last byte: admission, attempts,
+ * resumption, answer.
  *
- * <p>A request that may not be repeated is sent again only if the former upstream itself said that
- * it did not run, or nothing of it had left. Used on the event loop only.
+ * <p>A request that may not be repeated is sent again only if the former upstream itself answered
+ * that it did not run the request, or if no byte of the request had left this process. Used on the
+ * event loop only.
  *
  * @since 0.2
  */
 final class Exchange implements CallerExchange {
-  /** A plain upstream ends a request about this often: three with six places, 20 ms a request. */
+  /**
+   * Time that a request waits for a place at a plain upstream. Requests end there about this often:
+   * three upstreams with six places, 20 ms a request.
+   */
   private static final int PLAIN_WAIT_MS = 20;
 
-  private static final int SMALLEST_DEADLINE_MS = 20;
+  private static final int MIN_DEADLINE_MS = 20;
 
   private final Relay relay;
   private final CallerRequest request;
@@ -67,7 +72,7 @@
     this.targets = new RequestTargets(relay.selector(), null, model, sends, 0);
   }
 
-  /** Admits the request and sends it, or answers it at once. */
+  /** Admits the request and sends it, or refuses it at once. */
   void start() {
     if (relay.isRefusingNew()) {
       refuse(Refusal.STOPPING, RetryAfter.AT_ONCE);
@@ -84,17 +89,19 @@
     route = admission.route();
     account = admission.account();
     service = admission.service();
-    Route found = route;
-    if (admission.refusal() != null || found == null) {
+    Route admittedRoute = route;
+    if (admission.refusal() != null || admittedRoute == null) {
       refuse(Objects.requireNonNull(admission.refusal()), RetryAfter.REPLICA);
       return;
     }
     engine = ModelEngine.of(service, model);
-    targets = new RequestTargets(relay.selector(), service, model, sends, found.targetLatencyMs());
-    long holdMs = Math.min(reader.deadlineMs(), found.timeoutMs());
-    endNanos = request.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(holdMs);
+    targets =
+        new RequestTargets(
+            relay.selector(), service, model, sends, admittedRoute.targetLatencyMs());
+    long timeoutMs = Math.min(reader.deadlineMs(), admittedRoute.timeoutMs());
+    endNanos = request.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     waitUntilNanos = request.arrivedNanos() + waitNanos();
-    sends.allow(found.maxAttempts());
+    sends.allow(admittedRoute.maxAttempts());
     if (relay.quarantine().recordArrival(this::fingerprint)) {
       refuse(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
       return;
@@ -105,26 +112,31 @@
     send();
   }
 
-  /** Returns true if the key, if there is one, would be known as taken away by now. */
+  /**
+   * Returns true if the request has no key, or if this process would know by now that the key was
+   * revoked.
+   */
   private boolean mayUseKey() {
     return account == null || relay.freshness().mayTrustKeys();
   }
 
   /**
-   * Returns how long a request waits for a place before it is refused: engines let requests in and
-   * out between passes, so with every place taken one comes free within a pass or so.
+   * Returns how long a request waits for a place before it is refused, in nanoseconds. Engines
+   * admit and complete requests between passes, so when all places are taken, one becomes free
+   * within about one pass.
    */
   private long waitNanos() {
-    ModelEngine of = engine;
-    return (long) ((of == null ? PLAIN_WAIT_MS : of.fullPassMs()) * 1e6);
+    ModelEngine modelEngine = engine;
+    return (long) ((modelEngine == null ? PLAIN_WAIT_MS : modelEngine.fullPassMs()) * 1e6);
   }
 
   /**
-   * Sends the request to the best upstream, waits a little for one, or gives up.
+   * Sends the request to the best upstream, waits a short time for one, or refuses the request.
    *
-   * <p>Every way to an upstream leads through here: the first attempt, a repeat, a resumed stream,
-   * a second attempt beside a silent one. Attempts are bounded for one try of a caller only; what
-   * ends its upstreams is stopped by the quarantine, which counts over tries and processes.
+   * <p>All attempts start here: the first one, repeats, resumed streams, and second attempts while
+   * an upstream is silent. The number of attempts is bounded only within one try of the caller. A
+   * request that crashes its upstreams is stopped by the quarantine, which counts over all tries
+   * and processes.
    */
   private void send() {
     isWaiting = false;
@@ -132,28 +144,29 @@
       refuseOrFail(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
       return;
     }
-    UpstreamService to = service;
+    UpstreamService requestedService = service;
     Optional<Target> target = targets.choose();
-    if (to == null || target.isEmpty()) {
+    if (requestedService == null || target.isEmpty()) {
       waitOrRefuse();
       return;
     }
     Attempt next = new Attempt(this, relay, target.get(), relay.nowNanos());
     attempts.add(next);
-    // Connections are shared with the other processes: each takes its part.
-    int connections = Math.max(2, to.maxConnections() / relay.freshness().processCount());
-    next.start(to.maxConnections() == 0 ? Integer.MAX_VALUE : connections);
+    // The connections that the service permits are divided among all processes.
+    int connections =
+        Math.max(2, requestedService.maxConnections() / relay.freshness().processCount());
+    next.start(requestedService.maxConnections() == 0 ? Integer.MAX_VALUE : connections);
   }
 
   private void waitOrRefuse() {
     if (!attempts.isEmpty()) {
-      // An upstream that fell silent still has the request.
+      // A silent upstream still has the request.
       return;
     }
     boolean isHeldBack = targets.isHeldBack();
-    // The next turn or the end of a rest is rarely as close as the next free place.
+    // Limits and rests of upstreams rarely permit a request as soon as a place becomes free.
     boolean mayWait = !isHeldBack && sends.sent() == 0 && relay.nowNanos() < waitUntilNanos;
-    // A stream that was begun waits for another replica as long as there is time.
+    // A stream that has begun waits for another replica until the deadline.
     if (hasBegun() || mayWait) {
       isWaiting = true;
       relay.addWaiting(this);
@@ -163,72 +176,75 @@
       refuseOrFail(Refusal.HELD_BACK, RetryAfter.PLACE);
       return;
     }
-    boolean isStanding = targets.isAnyStanding();
+    boolean hasUpstreams = targets.isAnyStanding();
     refuseOrFail(
-        isStanding ? Refusal.NO_PLACE : Refusal.NO_REPLICA,
-        isStanding ? RetryAfter.PLACE : RetryAfter.REPLICA);
+        hasUpstreams ? Refusal.NO_PLACE : Refusal.NO_REPLICA,
+        hasUpstreams ? RetryAfter.PLACE : RetryAfter.REPLICA);
   }
 
-  /** Looks after time limits and waiting. */
+  /** Checks the deadline, and tries again to send a waiting request. */
   void onTick() {
     if (isOver) {
       return;
     }
     if (relay.nowNanos() >= endNanos && route != null) {
-      endForTime();
+      endAtDeadline();
     } else if (isWaiting) {
       send();
     }
   }
 
-  private void endForTime() {
+  private void endAtDeadline() {
     if (hasBegun()) {
       relay.counters().count("shoreroad.streams.cut", "time");
       abort("time", RequestEnd.TIMED_OUT);
     } else {
-      boolean hasLeft = sends.mayHaveRun() || attempts.isAnySent();
-      refuse(hasLeft ? Refusal.NOT_ANSWERED_IN_TIME : Refusal.NOT_SENT_IN_TIME, RetryAfter.PLACE);
+      boolean mayHaveRun = sends.mayHaveRun() || attempts.isAnySent();
+      refuse(
+          mayHaveRun ? Refusal.NOT_ANSWERED_IN_TIME : Refusal.NOT_SENT_IN_TIME, RetryAfter.PLACE);
     }
   }
 
-  /** Returns the request as the upstream gets it. */
+  /** Creates the request that is sent to the upstream. */
   FullHttpRequest toUpstreamRequest(Target target) {
-    EventRelay begun = events;
-    Route of = route;
-    boolean isRanked = target.box().domain() != null && of != null;
+    EventRelay relayed = events;
+    Route admittedRoute = route;
+    boolean isRanked = target.box().domain() != null && admittedRoute != null;
     return reader.toUpstreamRequest(
         target.box().id(),
         remainingMs(),
         account,
-        isRanked && of != null ? RequestReader.rank(of, account) : RequestReader.NO_RANK,
-        begun == null ? -1 : begun.lastId());
+        isRanked && admittedRoute != null
+            ? RequestReader.rank(admittedRoute, account)
+            : RequestReader.NO_RANK,
+        relayed == null ? -1 : relayed.lastId());
   }
 
-  /** Asked right before the first byte leaves. */
+  /** Returns true if the request may be sent; called right before the first byte is sent. */
   boolean maySendNow() {
     return !isOver && mayUseKey() && !isQuarantined() && relay.nowNanos() < endNanos;
   }
 
-  /** Notes that a byte may have left for an upstream. */
+  /** Records that a byte may have been sent to an upstream. */
   void onSent(Target target) {
     sends.recordSent(target.box().id());
   }
 
-  /** Takes a stream's head; returns where its body goes. */
+  /** Begins the answer with a stream's head if it is the first; returns the relay for its body. */
   EventRelay onStreamHead(Attempt answering, HttpResponse head) {
     onProgress(answering);
-    EventRelay begun = events;
-    if (begun == null) {
-      begun =
+    EventRelay relayed = events;
+    if (relayed == null) {
+      relayed =
           new EventRelay(answers, relay::nowNanos, request.arrivedNanos(), reader.lastEventId());
-      events = begun;
+      events = relayed;
       relay.counters().record("shoreroad.first_head", relay.nowNanos() - request.arrivedNanos());
       answers.begin(head.status(), HopByHopHeaders.copyWithout(head.headers()));
     }
-    return begun;
+    return relayed;
   }
 
-  /** Notes that an upstream answers, so that no other one is needed. */
+  /** Cancels the other attempts, which are not needed once an upstream answers. */
   void onProgress(Attempt answering) {
     boolean isNewest = answering == attempts.newest();
     if (attempts.keepOnly(answering)) {
@@ -236,7 +252,7 @@
     }
   }
 
-  /** Passes a whole answer on. */
+  /** Forwards a whole answer. */
   void onWholeAnswer(HttpResponse head, ByteBuf body) {
     relay.counters().count("shoreroad.answers", Integer.toString(head.status().code()));
     relay.counters().record("shoreroad.answer", relay.nowNanos() - request.arrivedNanos());
@@ -245,7 +261,7 @@
     answers.answer(head.status(), HopByHopHeaders.copyWithout(head.headers()), body);
   }
 
-  /** Ends a stream that came to its own end. */
+  /** Ends the answer after its upstream has ended the stream. */
   void onStreamEnd() {
     relay.counters().count("shoreroad.answers", "stream");
     if (events != null) {
@@ -256,37 +272,39 @@
     answers.end();
   }
 
-  /** Decides what follows when an attempt brought nothing that can be passed on. */
-  void onAttemptFailed(Attempt failed, AttemptFailure end) {
-    if (end != AttemptFailure.NOT_SENT && end != AttemptFailure.REFUSED) {
-      // Before the failure is noted: that may quarantine this request and answer it.
+  /** Repeats the request or ends it after an attempt brought no answer that can be forwarded. */
+  void onAttemptFailed(Attempt failed, AttemptFailure failure) {
+    if (failure != AttemptFailure.NOT_SENT && failure != AttemptFailure.REFUSED) {
+      // Before the failure is recorded, which may quarantine this request and answer it.
       sends.recordMayHaveRun();
     }
     boolean isNewest = failed == attempts.newest();
     attempts.remove(failed);
-    noteFailure(failed, end);
+    recordFailure(failed, failure);
     if (isOver || !isNewest) {
       return;
     }
-    if (end == AttemptFailure.NOT_SENT) {
+    if (failure == AttemptFailure.NOT_SENT) {
       sends.recordUnsent(failed.target().box().id());
       retryUnsent();
-    } else if (mayRepeatAfter(end)) {
-      relay.counters().count("shoreroad.retries", end.code());
+    } else if (mayRepeatAfter(failure)) {
+      relay.counters().count("shoreroad.retries", failure.code());
       send();
     } else if (hasBegun() && attempts.isEmpty()) {
-      abort(end.name(), RequestEnd.CUT);
+      abort(failure.name(), RequestEnd.CUT);
     } else {
       refuseOrFail(
-          end == AttemptFailure.REFUSED ? Refusal.UPSTREAM_REFUSED : Refusal.UPSTREAM_FAILED,
+          failure == AttemptFailure.REFUSED ? Refusal.UPSTREAM_REFUSED : Refusal.UPSTREAM_FAILED,
           RetryAfter.PLACE);
     }
   }
 
-  private boolean mayRepeatAfter(AttemptFailure end) {
-    Route of = route;
-    boolean isAllowed = of != null && (end == AttemptFailure.REFUSED || of.isRepeatable());
-    // With an earlier upstream still at work, a repeat is worth it only where it can be sent.
+  private boolean mayRepeatAfter(AttemptFailure failure) {
+    Route admittedRoute = route;
+    boolean isAllowed =
+        admittedRoute != null
+            && (failure == AttemptFailure.REFUSED || admittedRoute.isRepeatable());
+    // While an earlier attempt is open, a repeat is useful only if it can be sent now.
     return isAllowed
         && sends.hasLeft()
         && !isQuarantined()
@@ -312,9 +330,9 @@
   }
 
   /**
-   * Sends the request to another upstream as well, since the one with this load is silent.
+   * Sends the request to another upstream as well, because the one with this load is silent.
    *
-   * @return true if it could not be sent now and may be soon
+   * @return true if it could not be sent now but may be sent soon
    */
   boolean onSilence(UpstreamLoad silent) {
     Attempt newest = attempts.newest();
@@ -324,7 +342,7 @@
     if (!newest.isSent() || isQuarantined() || !targets.isAnyFree() || !takeRepeat()) {
       return true;
     }
-    noteFailure(newest, AttemptFailure.STALLED);
+    recordFailure(newest, AttemptFailure.STALLED);
     sends.recordMayHaveRun();
     relay.counters().count("shoreroad.retries", AttemptFailure.STALLED.code());
     send();
@@ -332,8 +350,8 @@
   }
 
   /**
-   * Ends the request if it is one of those that have just been quarantined and no upstream has
-   * begun to answer it: an upstream that it still waits at would end too.
+   * Ends the request if it is among those that have just been quarantined and no upstream has begun
+   * to answer it. An upstream at which it still waits would crash too.
    */
   void onQuarantined(Set<RequestFingerprint> requests) {
     if (isOver || !requests.contains(fingerprint())) {
@@ -369,7 +387,7 @@
     attempts.setReading(isWritable);
   }
 
-  /** Ends the request, unless an upstream still has it. */
+  /** Refuses the request or cuts its answer, unless an upstream still has the request. */
   private void refuseOrFail(Refusal refusal, RetryAfter retryAfter) {
     if (!attempts.isEmpty()) {
       return;
@@ -378,8 +396,8 @@
       abort(refusal.code(), RequestEnd.CUT);
       return;
     }
-    boolean isFalse = refusal.promisesNotRun() && sends.mayHaveRun();
-    refuse(isFalse ? Refusal.UPSTREAM_FAILED : refusal, retryAfter);
+    boolean isPromiseFalse = refusal.promisesNotRun() && sends.mayHaveRun();
+    refuse(isPromiseFalse ? Refusal.UPSTREAM_FAILED : refusal, retryAfter);
   }
 
   private void refuse(Refusal refusal, RetryAfter retryAfter) {
@@ -394,17 +412,17 @@
     answers.answer(refusal.status(), headers, Unpooled.EMPTY_BUFFER);
   }
 
-  private void abort(String why, RequestEnd end) {
-    log.writeCut(why, events, endNanos);
-    relay.counters().count("shoreroad.answers.cut", why);
+  private void abort(String reason, RequestEnd end) {
+    log.writeCut(reason, events, endNanos);
+    relay.counters().count("shoreroad.answers.cut", reason);
     finish(end);
     answers.abort();
   }
 
-  private void noteFailure(Attempt failed, AttemptFailure end) {
-    relay.counters().count("shoreroad.attempts.failed", end.code());
-    boolean isCrash = end == AttemptFailure.DISCONNECTED;
-    log.writeFailure(failed, end, isCrash ? fingerprint() : null);
+  private void recordFailure(Attempt failed, AttemptFailure failure) {
+    relay.counters().count("shoreroad.attempts.failed", failure.code());
+    boolean isCrash = failure == AttemptFailure.DISCONNECTED;
+    log.writeFailure(failed, failure, isCrash ? fingerprint() : null);
     if (isCrash) {
       Crash crash = new Crash(failed.target().box().incarnation(), failed.hasHead());
       relay.quarantine().recordCrash(fingerprint(), crash);
@@ -415,7 +433,7 @@
     return reader.fingerprint(route == null ? "" : route.host(), account);
   }
 
-  /** Ends the request; all its ends lead through here. */
+  /** Ends the request; called for each way in which a request can end. */
   private void finish(RequestEnd end) {
     if (!isOver) {
       isOver = true;
@@ -433,7 +451,7 @@
     return route != null && route.kind() == RequestKind.STREAM;
   }
 
-  /** Returns true if the request goes on without this attempt. */
+  /** Returns true if the request can continue without this attempt. */
   boolean canContinueWithout(Attempt failed) {
     return attempts.hasOther(failed) || canRepeat();
   }
@@ -442,7 +460,7 @@
     return route != null && route.isRepeatable() && sends.hasLeft();
   }
 
-  /** Returns the engines of its service as they run its model, or null if there are none. */
+  /** Returns the engines of the service as they run the model, or null if there are none. */
   @Nullable ModelEngine engine() {
     return engine;
   }
@@ -455,25 +473,31 @@
     return reader.attemptId();
   }
 
-  /** Returns how long a pass takes at an upstream by its engine's figures, 0 if it has none. */
+  /**
+   * Returns how long a pass takes at an upstream by the figures of its engine, in milliseconds, or
+   * 0 if it has no engine.
+   */
   double passMs(UpstreamLoad load) {
-    ModelEngine of = engine;
-    return of == null ? 0 : of.passMs(load);
+    ModelEngine modelEngine = engine;
+    return modelEngine == null ? 0 : modelEngine.passMs(load);
   }
 
-  /** Returns the id of the upstream with this load, an empty text if it has not the request. */
+  /**
+   * Returns the id of the upstream with this load, or an empty string if the request has no open
+   * attempt there.
+   */
   String upstreamIdAt(UpstreamLoad load) {
-    Attempt at = attempts.findAt(load);
-    return at == null ? "" : at.target().box().id();
+    Attempt attempt = attempts.findAt(load);
+    return attempt == null ? "" : attempt.target().box().id();
   }
 
-  /** Returns true if the caller has the head of a stream, so that no other answer can follow. */
+  /** Returns true if a stream's head was sent to the caller, so that no other answer can follow. */
   boolean hasBegun() {
     return events != null;
   }
 
   private long remainingMs() {
     long leftMs = TimeUnit.NANOSECONDS.toMillis(endNanos - relay.nowNanos());
-    return Math.max(SMALLEST_DEADLINE_MS, leftMs);
+    return Math.max(MIN_DEADLINE_MS, leftMs);
   }
 }
