--- a/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
@@ -12,8 +12,8 @@
 import org.shoreroad.traffic.TrafficConfig;
 
 /**
- * Log lines on one request: what happened, and all that the decision was based on. Used on the
- * event loop only.
+ * Writer of the log lines on one request. Each line has the data on which the decision was based.
+ * Used on the event loop only.
  */
 final class ExchangeLog {
   private static final long NO_VERSION = -1;
@@ -23,7 +23,7 @@
   private final CallerRequest request;
   private final RequestReader reader;
   private final SendHistory sends;
-  private final List<String> ends = new ArrayList<>();
+  private final List<String> failures = new ArrayList<>();
   private @Nullable Route route;
   private @Nullable ClientAccount account;
   private long admittedVersion = NO_VERSION;
@@ -35,7 +35,7 @@
     this.sends = sends;
   }
 
-  /** Sets what the admission has found, for all lines from now on. */
+  /** Sets the result of the admission, which all later lines include. */
   void setAdmission(Admission admission) {
     route = admission.route();
     account = admission.account();
@@ -46,12 +46,12 @@
    * Writes a line.
    *
    * @param event the name of the event, not null
-   * @param what names and values of the fields that only this line has, in turn
+   * @param eventFields names and values in turn of the fields that belong to this event only
    */
-  void write(String event, Object... what) {
+  void write(String event, Object... eventFields) {
     long heldMs = TimeUnit.NANOSECONDS.toMillis(relay.nowNanos() - request.arrivedNanos());
     List<Object> fields = new ArrayList<>(List.of("request", reader.attemptId()));
-    fields.addAll(Arrays.asList(what));
+    fields.addAll(Arrays.asList(eventFields));
     fields.addAll(List.of("route", route == null ? "" : route.name(), "model", reader.model()));
     fields.addAll(List.of("account", account == null ? "" : account.name()));
     fields.addAll(List.of("sends", sends.sent(), "tried", sends.triedIds()));
@@ -67,18 +67,19 @@
   }
 
   /**
-   * Writes that an attempt brought no whole answer.
+   * Writes that an attempt failed.
    *
-   * @param fingerprint what identifies the request when its caller returns, or null if it has
-   *     crashed no upstream
+   * @param fingerprint the fingerprint of the request, which is the same when its caller sends it
+   *     again, or null if this attempt crashed no upstream
    */
-  void writeFailure(Attempt failed, AttemptFailure end, @Nullable RequestFingerprint fingerprint) {
+  void writeFailure(
+      Attempt failed, AttemptFailure failure, @Nullable RequestFingerprint fingerprint) {
     Target target = failed.target();
-    ends.add(target.box().id() + ":" + end);
+    failures.add(target.box().id() + ":" + failure);
     write(
         "attempt_failed",
         "end",
-        end,
+        failure,
         "upstream",
         target.box().id(),
         "bornMs",
@@ -92,10 +93,10 @@
   }
 
   /**
-   * Writes that an answer which has begun ends before it is whole.
+   * Writes that an answer which has begun ends before it is complete.
    *
-   * @param events what was passed on, or null if nothing was
-   * @param endNanos the end of the time of the request, on the steady clock
+   * @param events the relay of the stream, or null if none has begun
+   * @param endNanos the deadline of the request, on the steady clock
    */
   void writeCut(String reason, @Nullable EventRelay events, long endNanos) {
     long nowNanos = relay.nowNanos();
@@ -112,12 +113,12 @@
         "admittedVersion",
         admittedVersion,
         "ends",
-        ends,
+        failures,
         "isStopping",
         relay.isRefusingNew());
   }
 
-  /** Writes and counts that a stream which came to its end missed a target of its route. */
+  /** Writes and counts that a completed stream missed a latency target of its route. */
   void writeIfLate(EventTiming timing) {
     String reason = route == null ? null : timing.lateReason(route);
     if (reason != null) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/HopByHopHeaders.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/HopByHopHeaders.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Headers that concern one connection and are not passed on. */
+/** Hop-by-hop headers, which concern one connection and are not forwarded. */
 final class HopByHopHeaders {
   private static final List<CharSequence> NAMES =
       List.of(
@@ -22,7 +22,7 @@
 
   private HopByHopHeaders() {}
 
-  /** Returns a copy without the headers of one connection, and those that the sender names so. */
+  /** Returns a copy without the hop-by-hop headers, including those named in Connection headers. */
   static HttpHeaders copyWithout(HttpHeaders headers) {
     HttpHeaders copy = new DefaultHttpHeaders(false);
     copy.add(headers);
--- a/edge/src/main/java/org/shoreroad/edge/relay/Refusal.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Refusal.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 
 /**
- * Why a request gets an answer of this system's own, and with which status.
+ * Reason why this system answers a request itself, with the HTTP status of the answer.
  *
  * <p>429 and 503 promise that the request has not run; 502 and 504 promise nothing.
  *
@@ -40,7 +40,7 @@
     return status == HttpResponseStatus.SERVICE_UNAVAILABLE;
   }
 
-  /** Returns the end of a request that is answered so. */
+  /** Returns how a request with this refusal is counted as ended. */
   RequestEnd end() {
     return switch (this) {
       case UPSTREAM_FAILED -> RequestEnd.FAILED;
--- a/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
@@ -19,25 +19,25 @@
 import org.shoreroad.routing.AttemptBudget;
 
 /**
- * Begins the exchanges and holds what they share. Used on the event loop.
+ * Creates the exchanges and holds the objects that they share. Used on the event loop.
  *
  * @since 0.2
  */
 public final class Relay implements CallerExchange.Factory {
-  /** How often waiting requests look for a place. */
+  /** Delay before waiting requests are tried again. */
   private static final int WAITING_TICK_MS = 20;
 
-  /** How often time limits are looked after. */
+  /** Interval between checks of the deadlines of requests. */
   private static final int TICK_MS = 100;
 
-  /** Shortest time between two checks for silent heads: a fifth of a usual pass, 50 ms. */
-  private static final int SHORTEST_STALL_TICK_MS = 10;
+  /** Minimum time between two checks for silent heads: a fifth of a usual pass, which is 50 ms. */
+  private static final int MIN_STALL_TICK_MS = 10;
 
   /**
-   * Longest time between two checks for silent heads: a head at which the first request is opened
-   * right after a check has a stall timeout of at least this.
+   * Maximum time between two checks for silent heads. The stall timeout of a head whose first
+   * request is opened right after a check is at least this long.
    */
-  private static final int LONGEST_STALL_TICK_MS = 90;
+  private static final int MAX_STALL_TICK_MS = 90;
 
   private final RepeatingTimer timer;
   private final LongSupplier clockNanos;
@@ -55,12 +55,12 @@
   private final Map<String, AttemptBudget> budgets = new HashMap<>();
   private final Set<Exchange> open = new HashSet<>();
   private final Set<Exchange> waiting = new HashSet<>();
-  private int stallTickMs = LONGEST_STALL_TICK_MS;
-  private boolean isTicking;
+  private int stallTickMs = MAX_STALL_TICK_MS;
+  private boolean isWaitingTickScheduled;
   private boolean isRefusingNew;
   private long acceptedCount;
 
-  /** Creates a relay; {@link #start} begins its timer. */
+  /** Creates a relay; {@link #start} starts its timers. */
   public Relay(
       EventLoop loop,
       LongSupplier clockNanos,
@@ -91,7 +91,7 @@
     quarantine.setListener(this::endQuarantined);
   }
 
-  /** Starts to look after waiting requests and silent heads. */
+  /** Starts the periodic checks of open requests and of silent heads. */
   public void start() {
     timer.every(TICK_MS, "relay", this::tick);
     timer.every(() -> stallTickMs, "silent heads", this::findStalled);
@@ -106,7 +106,7 @@
     return exchange;
   }
 
-  /** From now on new requests are refused, so that those under way can end in time. */
+  /** Refuses new requests from now on, so that open ones can end in time. */
   public void refuseNew() {
     isRefusingNew = true;
   }
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Returns the number of requests that were read whole: those that have ended and are open. */
+  /** Returns the number of requests that were received completely, ended and open ones. */
   public long acceptedCount() {
     return acceptedCount;
   }
@@ -143,24 +143,26 @@
 
   private void findStalled() {
     if (open.isEmpty()) {
-      stallTickMs = LONGEST_STALL_TICK_MS;
+      stallTickMs = MAX_STALL_TICK_MS;
       return;
     }
     long nextMs = TimeUnit.NANOSECONDS.toMillis(stalls.findStalled()) + 1;
-    stallTickMs = (int) Math.max(SHORTEST_STALL_TICK_MS, Math.min(LONGEST_STALL_TICK_MS, nextMs));
+    stallTickMs = (int) Math.max(MIN_STALL_TICK_MS, Math.min(MAX_STALL_TICK_MS, nextMs));
   }
 
-  /** Looks for a place again soon, for as long as the request waits. */
+  /**
+   * Adds a request that waits for a place at an upstream, to be tried again after a short delay.
+   */
   void addWaiting(Exchange exchange) {
     waiting.add(exchange);
-    if (!isTicking) {
-      isTicking = true;
+    if (!isWaitingTickScheduled) {
+      isWaitingTickScheduled = true;
       timer.once(WAITING_TICK_MS, "waiting", this::tickWaiting);
     }
   }
 
   private void tickWaiting() {
-    isTicking = false;
+    isWaitingTickScheduled = false;
     Exchange[] due = waiting.toArray(new Exchange[0]);
     waiting.clear();
     for (Exchange exchange : due) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/RelayCounters.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RelayCounters.java
@@ -1,14 +1,14 @@
 package org.shoreroad.edge.relay;
 
 /**
- * Request counters, labelled by outcome and reason.
+ * Counters and timers of requests, labelled by outcome and reason.
  *
  * @since 0.2
  */
 public interface RelayCounters {
-  /** Counts one of the name with a reason. */
+  /** Increments the counter with this name and reason. */
   void count(String name, String reason);
 
-  /** Records how long something took, in nanoseconds. */
+  /** Records a duration in nanoseconds. */
   void record(String name, long nanos);
 }
--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestEnd.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestEnd.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 
 /**
- * How a request ended that was read whole; each has exactly one end.
+ * Way in which a request ended. Each request that was received completely has exactly one end.
  *
  * @since 0.2
  */
 enum RequestEnd {
-  /** The caller was sent a whole answer of an upstream. */
+  /** A complete answer of an upstream was sent to the caller. */
   ANSWERED,
-  /** The caller was sent a refusal of this system: the request is not allowed, or has not run. */
+  /** A refusal of this system was sent: the request is not allowed, or has not run. */
   REFUSED,
-  /** The caller was sent a failure of this system, since an upstream failed. */
+  /** An error answer of this system was sent, because an upstream failed. */
   FAILED,
-  /** The time of the request was over, before its answer or in the middle of it. */
+  /** The deadline passed, before the answer or in the middle of it. */
   TIMED_OUT,
-  /** The answer broke off in the middle, since no upstream went on with it. */
+  /** The answer was cut in the middle, because no upstream continued it. */
   CUT,
   /** The caller closed its connection. */
   CALLER_GONE,
--- a/edge/src/main/java/org/shoreroad/edge/relay/RequestReader.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/RequestReader.java
@@ -13,9 +13,12 @@
 import org.shoreroad.traffic.ClientAccount;
 import org.shoreroad.traffic.Route;
 
-/** Reads what a request's headers say, and writes those that its upstream gets. */
+/**
+ * Reader of the headers of a caller's request, which also creates the request for the upstream. Not
+ * thread-safe.
+ */
 final class RequestReader {
-  /** Stands for a request whose urgency the upstream is not told. */
+  /** Value for a request that is sent without a rank header. */
   static final int NO_RANK = -1;
 
   private static final int LOWEST_RANK = 9;
@@ -39,7 +42,7 @@
     return request.header(names.model());
   }
 
-  /** Returns the key that the caller shows, or an empty text. */
+  /** Returns the caller's key, or an empty string. */
   String key() {
     String authorization = request.header(HttpHeaderNames.AUTHORIZATION.toString());
     return authorization.startsWith(BEARER) ? authorization.substring(BEARER.length()).trim() : "";
@@ -49,7 +52,7 @@
     return Decimals.parse(request.header(names.deadlineMs()), DEFAULT_DEADLINE_MS);
   }
 
-  /** Returns the last event that the caller has, or -1. */
+  /** Returns the id of the last event that the caller has received, or -1. */
   long lastEventId() {
     return Decimals.parse(request.header(names.lastEventId()), -1);
   }
@@ -59,44 +62,44 @@
   }
 
   /**
-   * Returns what identifies the request over its caller's returns. It is computed when it is first
-   * asked for, since most requests end well and never need it.
+   * Returns the fingerprint, which is the same when the caller sends the request again. It is
+   * computed on first use, since most requests end well and never need it.
    *
-   * @param host the host name of the route, not null. The header may carry the port of the process
-   *     that a caller has come to, which differs at its next return
+   * @param host the host name of the route, not null. The Host header may contain the port of the
+   *     process that the caller has reached, which differs when it sends the request again
    * @param account the client account of the caller, or null; the same in each invocation
    */
   RequestFingerprint fingerprint(String host, @Nullable ClientAccount account) {
-    RequestFingerprint known = fingerprint;
-    if (known == null) {
-      known =
+    RequestFingerprint computed = fingerprint;
+    if (computed == null) {
+      computed =
           RequestFingerprint.of(
               request.method().name(),
               host,
               request.uri(),
               account == null ? "" : account.name(),
               request.body().nioBuffer());
-      fingerprint = known;
+      fingerprint = computed;
     }
-    return known;
+    return computed;
   }
 
-  /** Returns how urgent a request is, from 0, by its client account or else by its route. */
+  /** Returns how urgent a request is, from 0 to 9, by its client account or else by its route. */
   static int rank(Route route, @Nullable ClientAccount account) {
-    boolean isAccounts = account != null && account.priority() != ClientAccount.NO_PRIORITY;
-    int priority = isAccounts ? account.priority() : route.priority();
+    boolean hasAccountPriority = account != null && account.priority() != ClientAccount.NO_PRIORITY;
+    int priority = hasAccountPriority ? account.priority() : route.priority();
     return Math.max(0, Math.min(LOWEST_RANK, priority));
   }
 
   /**
-   * Returns the request for an upstream: unaltered but for the headers of one connection, the key,
-   * and those that this system sets.
+   * Creates the request for an upstream. It differs from the caller's request only in the
+   * hop-by-hop headers, the key and the headers that this system sets.
    *
-   * @param upstreamId the only upstream that may run it
-   * @param deadlineMs the time that is left, in milliseconds
+   * @param upstreamId the id of the only upstream that may run the request
+   * @param deadlineMs the remaining time, in milliseconds
    * @param account the client account, or null
-   * @param rank how urgent it is, or {@link #NO_RANK}
-   * @param lastEventId the last event that was passed on by an earlier attempt, or -1
+   * @param rank how urgent the request is, or {@link #NO_RANK}
+   * @param lastEventId the id of the last event that an earlier attempt forwarded, or -1
    */
   FullHttpRequest toUpstreamRequest(
       String upstreamId,
