--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -23,20 +23,15 @@
 import org.shoreroad.traffic.UpstreamService;
 
 /**
- * Exchange of one request and its answer, from the arrival to the last byte: admission, attempts,
- * resumption, answer.
+ * One request from its arrival to its last byte: admission, attempts, resumption, answer.
  *
  * <p>A request that may not be repeated is sent again only if the former upstream itself answered
- * that it did not run the request, or if no byte of the request had left this process. Used on the
- * event loop only.
+ * that it did not run it, or if no byte of it had left this process. Used on the event loop only.
  *
  * @since 0.2
  */
 final class Exchange implements CallerExchange {
-  /**
-   * Time that a request waits for a place at a plain upstream. Requests end there about this often:
-   * three upstreams with six places, 20 ms a request.
-   */
+  /** Plain upstreams complete requests about this often: three with six places, 20 ms a request. */
   private static final int PLAIN_WAIT_MS = 20;
 
   private static final int MIN_DEADLINE_MS = 20;
@@ -89,19 +84,17 @@
     route = admission.route();
     account = admission.account();
     service = admission.service();
-    Route admittedRoute = route;
-    if (admission.refusal() != null || admittedRoute == null) {
+    Route found = route;
+    if (admission.refusal() != null || found == null) {
       refuse(Objects.requireNonNull(admission.refusal()), RetryAfter.REPLICA);
       return;
     }
     engine = ModelEngine.of(service, model);
-    targets =
-        new RequestTargets(
-            relay.selector(), service, model, sends, admittedRoute.targetLatencyMs());
-    long timeoutMs = Math.min(reader.deadlineMs(), admittedRoute.timeoutMs());
+    targets = new RequestTargets(relay.selector(), service, model, sends, found.targetLatencyMs());
+    long timeoutMs = Math.min(reader.deadlineMs(), found.timeoutMs());
     endNanos = request.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     waitUntilNanos = request.arrivedNanos() + waitNanos();
-    sends.allow(admittedRoute.maxAttempts());
+    sends.allow(found.maxAttempts());
     if (relay.quarantine().recordArrival(this::fingerprint)) {
       refuse(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
       return;
@@ -112,18 +105,14 @@
     send();
   }
 
-  /**
-   * Returns true if the request has no key, or if this process would know by now that the key was
-   * revoked.
-   */
+  /** Returns true if there is no key, or if a revocation of it would be known here by now. */
   private boolean mayUseKey() {
     return account == null || relay.freshness().mayTrustKeys();
   }
 
   /**
-   * Returns how long a request waits for a place before it is refused, in nanoseconds. Engines
-   * admit and complete requests between passes, so when all places are taken, one becomes free
-   * within about one pass.
+   * Returns how long a request may wait for a place, in nanoseconds. Engines admit and complete
+   * requests between passes, so when all places are taken, one becomes free within about a pass.
    */
   private long waitNanos() {
     ModelEngine modelEngine = engine;
@@ -133,10 +122,9 @@
   /**
    * Sends the request to the best upstream, waits a short time for one, or refuses the request.
    *
-   * <p>All attempts start here: the first one, repeats, resumed streams, and second attempts while
-   * an upstream is silent. The number of attempts is bounded only within one try of the caller. A
-   * request that crashes its upstreams is stopped by the quarantine, which counts over all tries
-   * and processes.
+   * <p>All attempts start here: the first, repeats, resumed streams, second attempts beside a
+   * silent one. Their number is bounded only within one try of the caller. A request that crashes
+   * its upstreams is stopped by the quarantine, which counts over all tries and processes.
    */
   private void send() {
     isWaiting = false;
@@ -144,18 +132,17 @@
       refuseOrFail(Refusal.QUARANTINED, RetryAfter.QUARANTINE);
       return;
     }
-    UpstreamService requestedService = service;
+    UpstreamService chosen = service;
     Optional<Target> target = targets.choose();
-    if (requestedService == null || target.isEmpty()) {
+    if (chosen == null || target.isEmpty()) {
       waitOrRefuse();
       return;
     }
     Attempt next = new Attempt(this, relay, target.get(), relay.nowNanos());
     attempts.add(next);
     // The connections that the service permits are divided among all processes.
-    int connections =
-        Math.max(2, requestedService.maxConnections() / relay.freshness().processCount());
-    next.start(requestedService.maxConnections() == 0 ? Integer.MAX_VALUE : connections);
+    int connections = Math.max(2, chosen.maxConnections() / relay.freshness().processCount());
+    next.start(chosen.maxConnections() == 0 ? Integer.MAX_VALUE : connections);
   }
 
   private void waitOrRefuse() {
@@ -164,7 +151,7 @@
       return;
     }
     boolean isHeldBack = targets.isHeldBack();
-    // Limits and rests of upstreams rarely permit a request as soon as a place becomes free.
+    // A limit or rest rarely permits the next request as soon as a place would become free.
     boolean mayWait = !isHeldBack && sends.sent() == 0 && relay.nowNanos() < waitUntilNanos;
     // A stream that has begun waits for another replica until the deadline.
     if (hasBegun() || mayWait) {
@@ -199,24 +186,20 @@
       relay.counters().count("shoreroad.streams.cut", "time");
       abort("time", RequestEnd.TIMED_OUT);
     } else {
-      boolean mayHaveRun = sends.mayHaveRun() || attempts.isAnySent();
-      refuse(
-          mayHaveRun ? Refusal.NOT_ANSWERED_IN_TIME : Refusal.NOT_SENT_IN_TIME, RetryAfter.PLACE);
+      boolean isSent = sends.mayHaveRun() || attempts.isAnySent();
+      refuse(isSent ? Refusal.NOT_ANSWERED_IN_TIME : Refusal.NOT_SENT_IN_TIME, RetryAfter.PLACE);
     }
   }
 
-  /** Creates the request that is sent to the upstream. */
   FullHttpRequest toUpstreamRequest(Target target) {
     EventRelay relayed = events;
-    Route admittedRoute = route;
-    boolean isRanked = target.box().domain() != null && admittedRoute != null;
+    Route current = route;
+    boolean isRanked = target.box().domain() != null && current != null;
     return reader.toUpstreamRequest(
         target.box().id(),
         remainingMs(),
         account,
-        isRanked && admittedRoute != null
-            ? RequestReader.rank(admittedRoute, account)
-            : RequestReader.NO_RANK,
+        isRanked && current != null ? RequestReader.rank(current, account) : RequestReader.NO_RANK,
         relayed == null ? -1 : relayed.lastId());
   }
 
@@ -252,7 +235,6 @@
     }
   }
 
-  /** Forwards a whole answer. */
   void onWholeAnswer(HttpResponse head, ByteBuf body) {
     relay.counters().count("shoreroad.answers", Integer.toString(head.status().code()));
     relay.counters().record("shoreroad.answer", relay.nowNanos() - request.arrivedNanos());
@@ -300,10 +282,9 @@
   }
 
   private boolean mayRepeatAfter(AttemptFailure failure) {
-    Route admittedRoute = route;
+    Route current = route;
     boolean isAllowed =
-        admittedRoute != null
-            && (failure == AttemptFailure.REFUSED || admittedRoute.isRepeatable());
+        current != null && (failure == AttemptFailure.REFUSED || current.isRepeatable());
     // While an earlier attempt is open, a repeat is useful only if it can be sent now.
     return isAllowed
         && sends.hasLeft()
@@ -376,7 +357,6 @@
     }
   }
 
-  /** Ends the request because the process ends. */
   void onProcessEnd() {
     log.write("request_unanswered", "hasBegun", hasBegun());
     finish(RequestEnd.PROCESS_ENDED);
@@ -473,19 +453,13 @@
     return reader.attemptId();
   }
 
-  /**
-   * Returns how long a pass takes at an upstream by the figures of its engine, in milliseconds, or
-   * 0 if it has no engine.
-   */
+  /** Returns the time of a pass by the engine's figures, in milliseconds, 0 without an engine. */
   double passMs(UpstreamLoad load) {
     ModelEngine modelEngine = engine;
     return modelEngine == null ? 0 : modelEngine.passMs(load);
   }
 
-  /**
-   * Returns the id of the upstream with this load, or an empty string if the request has no open
-   * attempt there.
-   */
+  /** Returns the id of the upstream with this load, empty if the request has no attempt there. */
   String upstreamIdAt(UpstreamLoad load) {
     Attempt attempt = attempts.findAt(load);
     return attempt == null ? "" : attempt.target().box().id();
