--- a/edge/src/test/java/org/shoreroad/edge/relay/AnswerCutLogTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/AnswerCutLogTest.java
@@ -7,14 +7,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The log line of an answer that ends before it is whole. */
+/** Tests the log line of an answer that ends before it is complete. */
 class AnswerCutLogTest extends LoopbackRelay {
   @Test
-  void namesWhatDecidedIt() throws Exception {
+  void hasTheDataThatTheCutWasBasedOn() throws Exception {
     upstream("i-1", BREAKS_OFF_MIDWAY);
     assertThat(call("/stream/"), not(containsString("0\r\n\r\n")));
     String line =
-        logged().lines().filter(of -> of.contains("\"answer_cut\"")).findFirst().orElse("");
+        logged().lines().filter(text -> text.contains("\"answer_cut\"")).findFirst().orElse("");
     assertThat(line, containsString("\"lastEvent\":1"));
     assertThat(line, containsString("\"ends\":\"[i-1:DISCONNECTED]\""));
     assertThat(line, containsString("\"admittedVersion\":1"));
--- a/edge/src/test/java/org/shoreroad/edge/relay/DecimalsTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/DecimalsTest.java
@@ -8,14 +8,14 @@
 
 class DecimalsTest {
   @Test
-  void aNumberOfUpToEighteenDigitsIsRead() {
+  void aNumberOfUpToEighteenDigitsIsParsed() {
     assertThat(Decimals.parse("0", -1), is(0L));
     assertThat(Decimals.parse("007", -1), is(7L));
     assertThat(Decimals.parse("999999999999999999", -1), is(999_999_999_999_999_999L));
   }
 
   @Test
-  void anyOtherTextGivesTheOtherValue() {
+  void anyOtherTextGivesTheDefaultValue() {
     for (String text : new String[] {"", "-1", "+1", " 1", "1 ", "1x", "1.0", "\u0661"}) {
       assertThat(text, Decimals.parse(text, -1), is(-1L));
     }
@@ -23,16 +23,16 @@
   }
 
   @Test
-  void itReadsWhatTheRegularExpressionTook() {
+  void parsesTheSameTextsAsTheRegularExpression() {
     SplittableRandom random = new SplittableRandom(7);
     for (int i = 0; i < 10_000; i++) {
       StringBuilder text = new StringBuilder();
       for (int length = random.nextInt(21); length > 0; length--) {
         text.append("0123456789012345678901234567890123456789 -x".charAt(random.nextInt(43)));
       }
-      String drawn = text.toString();
-      long expected = drawn.matches("[0-9]{1,18}") ? Long.parseLong(drawn) : -1;
-      assertThat(drawn, Decimals.parse(drawn, -1), is(expected));
+      String sample = text.toString();
+      long expected = sample.matches("[0-9]{1,18}") ? Long.parseLong(sample) : -1;
+      assertThat(sample, Decimals.parse(sample, -1), is(expected));
     }
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/EventSplitterTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/EventSplitterTest.java
@@ -19,19 +19,19 @@
 
   private boolean add(String text) {
     ByteBuf bytes = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-    boolean isFit = splitter.add(bytes, this::take);
+    boolean isAccepted = splitter.add(bytes, this::record);
     bytes.release();
-    return isFit;
+    return isAccepted;
   }
 
-  private void take(ByteBuf event, long id) {
+  private void record(ByteBuf event, long id) {
     events.add(event.toString(StandardCharsets.UTF_8));
     ids.add(id);
     event.release();
   }
 
   @Test
-  void eventsAreCutAtBlankLines() {
+  void eventsAreSplitAtBlankLines() {
     add("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\n");
     assertThat(events, contains("id: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n"));
     assertThat(ids, contains(1L, 2L));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void anEventInPiecesIsPassedOnOnceItIsWhole() {
+  void anEventInPiecesIsForwardedOnceItIsComplete() {
     add("versions: 3\nid: 4\nda");
     add("ta: x\n");
     assertThat(events.isEmpty(), is(true));
@@ -49,13 +49,13 @@
   }
 
   @Test
-  void anIdThatIsNoNumberIsNone() {
+  void anIdThatIsNotANumberIsIgnored() {
     add("id: x\ndata: 1\n\ndata: 2\n\n");
     assertThat(ids, contains(-1L, -1L));
   }
 
   @Test
-  void theFirstIdFieldOfAnEventCounts() {
+  void theFirstIdFieldOfAnEventIsUsed() {
     add("data: id: 9\nid:5\r\nid: 6\n\n");
     add("id\ndata: a\n\n");
     add(": id: 3\nid:  12 \ndata: b\n\n");
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void anyCutOfTheBytesGivesTheSameEvents() {
+  void anySplitOfTheBytesGivesTheSameEvents() {
     StringBuilder stream = new StringBuilder();
     for (int i = 1; i <= 40; i++) {
       stream.append("id: ").append(i).append("\ndata: ").append("x".repeat(i)).append("\n\n");
@@ -84,10 +84,10 @@
 
   @Test
   void aStreamWithoutAnyEndOfEventIsRefused() {
-    boolean isFit = true;
-    for (int i = 0; i < 30 && isFit; i++) {
-      isFit = add("x".repeat(50_000));
+    boolean isAccepted = true;
+    for (int i = 0; i < 30 && isAccepted; i++) {
+      isAccepted = add("x".repeat(50_000));
     }
-    assertThat(isFit, is(false));
+    assertThat(isAccepted, is(false));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/FakeFreshness.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/FakeFreshness.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 import org.shoreroad.traffic.TrafficConfig;
 
-/** A fixed configuration whose proof the test sets. */
+/** Fixed configuration for tests, which set whether it is proved to be current. */
 final class FakeFreshness implements Freshness {
   private final @Nullable TrafficConfig config;
   boolean mayTrustKeys = true;
--- a/edge/src/test/java/org/shoreroad/edge/relay/FakeUpstream.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/FakeUpstream.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An upstream on loopback that answers each request as the test says, in raw bytes.
+ * Upstream on loopback that answers each request with the raw bytes of a script.
  *
  * <p>Thread-safe; one thread for each connection.
  */
@@ -30,10 +30,10 @@
     acceptor.start();
   }
 
-  /** Answers a request. */
+  /** Answers requests. */
   interface Script {
     /**
-     * Writes what the upstream sends for the request with this head; closes if it returns false.
+     * Writes the answer to the request with this head; the connection closes if it returns false.
      */
     boolean answer(String head, OutputStream out, Socket socket) throws Exception;
   }
@@ -86,7 +86,7 @@
         socket.getOutputStream().flush();
       }
     } catch (Exception e) {
-      // The other side closed, or the script wants the connection gone.
+      // The other side or the script closed the connection.
     }
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
@@ -46,7 +46,7 @@
 import org.shoreroad.traffic.TrafficConfig;
 import org.shoreroad.traffic.UpstreamService;
 
-/** A relay between real sockets on loopback: callers on one side, scripted upstreams beyond. */
+/** Fixture with a relay between callers and scripted upstreams, over real sockets on loopback. */
 abstract class LoopbackRelay {
   static final HeaderNames NAMES =
       new HeaderNames(
@@ -64,19 +64,19 @@
           "X-Leaving");
   static final int READ_TIMEOUT_MS = 10_000;
 
-  /** Ids that begin so are heads of replicas of model {@code m}. */
+  /** Prefix of the ids of upstreams that are heads of replicas of model {@code m}. */
   static final String HEAD_PREFIX = "head-";
 
   static final String SELF = "front-1~a";
 
-  /** Head of a stream's answer. */
+  /** Response head of a stream. */
   static final String STREAM_HEAD =
       "HTTP/1.1 200 OK\r\nX-Attempt: a1\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   static final String FIRST_EVENT = "id: 1\ndata: a\n\n";
   private static final int SLOTS = 4;
-  private final AtomicLong aheadNanos = new AtomicLong();
-  final LongSupplier clockNanos = () -> System.nanoTime() + aheadNanos.get();
+  private final AtomicLong clockOffsetNanos = new AtomicLong();
+  final LongSupplier clockNanos = () -> System.nanoTime() + clockOffsetNanos.get();
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   final EventLoop loop = group.next();
   private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
@@ -182,7 +182,7 @@
     assertThat("ends and open", ended + relay.openCount(), is(relay.acceptedCount()));
   }
 
-  /** Returns how many requests have ended so. */
+  /** Returns how many requests have ended in this way. */
   final long endedCount(RequestEnd end) throws Exception {
     String prefix = "shoreroad_requests_ended_total{reason=\"" + end.code() + "\"}";
     return loop.submit(() -> sumOfMetrics(prefix)).get();
@@ -204,12 +204,12 @@
     return upstream;
   }
 
-  /** Writes the upstream's entry to the list. */
+  /** Adds the upstream to the list of upstreams. */
   final void list(String id, FakeUpstream upstream) throws Exception {
     write(id, upstream.address().getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Takes the upstream's entry off the list. */
+  /** Removes the upstream from the list of upstreams. */
   final void unlist(String id) throws Exception {
     write(id, null);
   }
@@ -219,9 +219,9 @@
     loop.submit(() -> fleet.onRecord(new StoreRecord(position, id, entry))).sync();
   }
 
-  /** Sets the clock of the relay ahead. */
+  /** Moves the clock of the relay ahead. */
   final void advanceClock(int millis) {
-    aheadNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
+    clockOffsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
   }
 
   /** Returns all log lines so far. */
@@ -230,19 +230,19 @@
     return logged.toString(StandardCharsets.UTF_8);
   }
 
-  /** Returns the rules on repeats. */
+  /** Returns the limits on repeated attempts. */
   RelayRules rules() {
     return new RelayRules(0.2, 100, 10);
   }
 
-  /** Answers each request in whole. */
+  /** Answers each request completely. */
   static final FakeUpstream.Script SERVING =
       (head, out, socket) -> {
         write(out, wholeAnswer(head, "served"));
         return true;
       };
 
-  /** Passes the first event of a stream on and breaks off. */
+  /** Sends the first event of a stream and closes the connection. */
   static final FakeUpstream.Script BREAKS_OFF_MIDWAY =
       (head, out, socket) -> {
         write(out, STREAM_HEAD);
@@ -250,7 +250,7 @@
         return false;
       };
 
-  /** Writes a chunk of an answer that has no length. */
+  /** Writes a chunk of an answer with chunked transfer encoding. */
   static void writeChunk(OutputStream out, String text) throws IOException {
     write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
@@ -273,17 +273,17 @@
     return call(path, "secret", "");
   }
 
-  /** Sends one request and returns all that comes until the connection ends; "!" marks a reset. */
-  final String call(String path, String key, String more) throws IOException {
-    return exchange(path, key, "Connection: close\r\n" + more);
+  /** Sends one request and returns all bytes until the connection ends; "!" marks a reset. */
+  final String call(String path, String key, String moreHeaders) throws IOException {
+    return exchange(path, key, "Connection: close\r\n" + moreHeaders);
   }
 
-  /** Does the same as a caller that would keep the connection. */
+  /** Sends one request on a connection that stays open, and returns the same. */
   final String callKeepingAlive(String path) throws IOException {
     return exchange(path, "secret", "");
   }
 
-  private String exchange(String path, String key, String more) throws IOException {
+  private String exchange(String path, String key, String moreHeaders) throws IOException {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       socket.setSoTimeout(READ_TIMEOUT_MS);
       write(
@@ -294,7 +294,7 @@
               + "X-Account: forged\r\nX-Model: m\r\nAuthorization: Bearer "
               + key
               + "\r\n"
-              + more
+              + moreHeaders
               + "\r\n");
       StringBuilder answer = new StringBuilder();
       try {
--- a/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The way of requests over real sockets on loopback, with upstreams that misbehave. */
+/** Tests the relay over real sockets on loopback, with upstreams that fail in different ways. */
 class RelayTest extends LoopbackRelay {
   @Test
-  void aWholeAnswerIsPassedOnWithItsSealAndTheAccountIsSet() throws Exception {
+  void aWholeAnswerIsForwardedWithItsSealAndTheAccountIsSet() throws Exception {
     FakeUpstream upstream =
         upstream(
             "i-1",
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void anAnswerOfAnotherRequestIsPassedOver() throws Exception {
+  void anAnswerToAnotherRequestIsIgnored() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aSuccessWithoutSealIsNoAnswer() throws Exception {
+  void aSuccessWithoutSealIsNotForwarded() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aCutAnswerIsNotPassedOn() throws Exception {
+  void anIncompleteAnswerIsNotForwarded() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void whatMayHaveRunIsNotSentAgain() throws Exception {
+  void aRequestThatMayHaveRunIsNotSentAgain() throws Exception {
     FakeUpstream.Script reset =
         (head, out, socket) -> {
           socket.setSoLinger(true, 0);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void whatMayBeRepeatedIsSentToAnotherUpstream() throws Exception {
+  void aRepeatableRequestIsSentToAnotherUpstream() throws Exception {
     List<String> order = new ArrayList<>();
     FakeUpstream.Script firstFails =
         (head, out, socket) -> {
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void anUpstreamThatDidNotRunItLeadsToATrueRefusal() throws Exception {
+  void aRequestThatDidNotRunIsRefusedWithRetryAfter() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void aBrokenStreamIsTakenUpAtAnotherUpstreamAfterItsLastWholeEvent() throws Exception {
+  void aBrokenStreamIsResumedAtAnotherUpstreamAfterItsLastCompleteEvent() throws Exception {
     List<String> lastIds = new ArrayList<>();
     FakeUpstream.Script script =
         (head, out, socket) -> {
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void aStreamThatCannotGoOnDoesNotLookWhole() throws Exception {
+  void aStreamThatCannotBeResumedDoesNotEndAsComplete() throws Exception {
     upstream("i-1", BREAKS_OFF_MIDWAY);
     String answer = call("/stream/");
     assertThat(answer, containsString("id: 1"));
@@ -168,7 +168,7 @@
   }
 
   @Test
-  void oldKnowledgeOfKeysServesNobody() throws Exception {
+  void requestsAreRefusedWhileTheKeysAreOutdated() throws Exception {
     FakeUpstream upstream = upstream("i-1", (head, out, socket) -> true);
     freshness.mayTrustKeys = false;
     String answer = call("/once/");
@@ -178,13 +178,13 @@
   }
 
   @Test
-  void anUnknownKeyIsNotDeniedOnOldKnowledge() throws Exception {
+  void anUnknownKeyIsNotRejectedWhileTheConfigurationIsUnproved() throws Exception {
     freshness.isProved = false;
     assertThat(call("/once/", "wrong", ""), startsWith("HTTP/1.1 503"));
   }
 
   @Test
-  void aStoppingProcessRefusesWhatItCouldNotEnd() throws Exception {
+  void aStoppingProcessRefusesNewRequests() throws Exception {
     FakeUpstream upstream = upstream("i-1", (head, out, socket) -> true);
     loop.submit(relay::refuseNew).sync();
     assertThat(call("/once/"), startsWith("HTTP/1.1 503"));
@@ -192,7 +192,7 @@
   }
 
   @Test
-  void withoutAnyUpstreamTheRefusalSaysWhenToComeBack() throws Exception {
+  void aRefusalWithoutAnyUpstreamHasRetryAfter() throws Exception {
     String answer = call("/once/");
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void aSilentUpstreamEndsInAnAnswerAtTheDeadline() throws Exception {
+  void aSilentUpstreamLeadsToATimeoutAnswerAtTheDeadline() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
--- a/edge/src/test/java/org/shoreroad/edge/relay/RequestEndTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RequestEndTest.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Each request that was read whole has one end, and each end its counter. */
+/** Tests that each request that was received completely is counted with exactly one end. */
 class RequestEndTest extends LoopbackRelay {
-  private static final FakeUpstream.Script NEVER =
+  private static final FakeUpstream.Script NEVER_ANSWERS =
       (head, out, socket) -> {
         Thread.sleep(READ_TIMEOUT_MS);
         return false;
@@ -39,14 +39,14 @@
   }
 
   @Test
-  void theEndOfTheTimeIsCounted() throws Exception {
-    upstream("i-1", NEVER);
+  void aTimeoutIsCounted() throws Exception {
+    upstream("i-1", NEVER_ANSWERS);
     assertThat(call("/once/"), startsWith("HTTP/1.1 504"));
     assertThat(endedCount(RequestEnd.TIMED_OUT), is(1L));
   }
 
   @Test
-  void anAnswerThatBreaksOffIsCounted() throws Exception {
+  void aCutAnswerIsCounted() throws Exception {
     upstream("i-1", BREAKS_OFF_MIDWAY);
     upstream("i-2", BREAKS_OFF_MIDWAY);
     call("/stream/");
@@ -60,7 +60,7 @@
         "i-1",
         (head, out, socket) -> {
           arrived.countDown();
-          return NEVER.answer(head, out, socket);
+          return NEVER_ANSWERS.answer(head, out, socket);
         });
     Thread caller = new Thread(this::callAndForget);
     caller.start();
--- a/edge/src/test/java/org/shoreroad/edge/relay/ResumedStreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/ResumedStreamTest.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A stream whose first upstream breaks off after an event. */
+/** Tests a stream whose first upstream closes the connection after an event. */
 class ResumedStreamTest extends LoopbackRelay {
   private final AtomicInteger calls = new AtomicInteger();
 
   private void assertCut(String secondAnswer) throws Exception {
-    FakeUpstream.Script byTurn =
+    FakeUpstream.Script firstBreaksOff =
         (head, out, socket) -> {
           if (calls.getAndIncrement() == 0) {
             return BREAKS_OFF_MIDWAY.answer(head, out, socket);
@@ -21,8 +21,8 @@
           write(out, secondAnswer);
           return true;
         };
-    upstream("i-1", byTurn);
-    upstream("i-2", byTurn);
+    upstream("i-1", firstBreaksOff);
+    upstream("i-2", firstBreaksOff);
     String answer = callKeepingAlive("/stream/");
     assertThat(calls.get(), is(2));
     assertThat(answer, endsWith(FIRST_EVENT + "\r\n"));
--- a/edge/src/test/java/org/shoreroad/edge/relay/SilentUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/SilentUpstreamTest.java
@@ -13,19 +13,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A request whose upstream is silent and moves again, while the next one does not take it. */
+/**
+ * Tests requests whose upstream is silent for a while and that are sent to a second one as well.
+ */
 class SilentUpstreamTest extends LoopbackRelay {
   private static final int SILENCE_MS = 800;
 
   private final AtomicInteger calls = new AtomicInteger();
 
-  /** Lists two heads; whichever is called first answers by the first script. */
+  /** Starts two heads; the one that is called first runs the first script, the other the next. */
   private void upstreams(FakeUpstream.Script first, FakeUpstream.Script next) throws Exception {
-    FakeUpstream.Script byTurn =
+    FakeUpstream.Script inOrder =
         (head, out, socket) ->
             (calls.getAndIncrement() == 0 ? first : next).answer(head, out, socket);
-    upstream(HEAD_PREFIX + "1", byTurn);
-    upstream(HEAD_PREFIX + "2", byTurn);
+    upstream(HEAD_PREFIX + "1", inOrder);
+    upstream(HEAD_PREFIX + "2", inOrder);
   }
 
   private static final FakeUpstream.Script PAUSES_MIDWAY =
@@ -100,7 +102,7 @@
   }
 
   @Test
-  void theSilentUpstreamIsLeftOnceTheNextOneAnswers() throws Exception {
+  void theSilentUpstreamIsCancelledOnceTheNextOneAnswers() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     upstreams(
         (head, out, socket) -> {
@@ -121,7 +123,7 @@
   }
 
   @Test
-  void bothUpstreamsAreLeftAtTheDeadline() throws Exception {
+  void bothUpstreamsAreCancelledAtTheDeadline() throws Exception {
     CountDownLatch closed = new CountDownLatch(2);
     FakeUpstream.Script silent =
         (head, out, socket) -> {
--- a/edge/src/test/java/org/shoreroad/edge/relay/StalledStreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/StalledStreamTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A stream whose head is silent for longer than its passes take. */
+/** Tests a stream whose head is silent for longer than its passes take. */
 class StalledStreamTest extends LoopbackRelay {
   private static final int SILENCE_MS = 1_000;
 
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void staysWhereItIsIfNoRepeatIsAllowed() throws Exception {
+  void staysAtItsUpstreamIfNoRepeatIsAllowed() throws Exception {
     FakeUpstream one = upstream(HEAD_PREFIX + "1", PAUSES);
     FakeUpstream two = upstream(HEAD_PREFIX + "2", PAUSES);
     String answer = call("/llm/");
