--- a/edge/src/test/java/org/shoreroad/edge/relay/SilentUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/SilentUpstreamTest.java
@@ -15,8 +15,8 @@
 
 /**
  * Tests requests whose upstream is silent for a while, so that they are sent to a second one as
- * well. If the second one refuses, fails or is silent too, the answer of the first one still
- * counts.
+ * well. If the second one refuses, fails or is silent too, the answer of the first one is still
+ * forwarded.
  */
 class SilentUpstreamTest extends LoopbackRelay {
   private static final int SILENCE_MS = 800;
