--- a/edge/src/main/java/org/shoreroad/edge/relay/HopHeaders.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/HopByHopHeaders.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Headers that concern one connection and are not passed on. */
-final class HopHeaders {
+/** Hop-by-hop headers, which concern one connection and are not forwarded. */
+final class HopByHopHeaders {
   private static final List<CharSequence> NAMES =
       List.of(
           HttpHeaderNames.CONNECTION,
@@ -20,9 +20,9 @@
           HttpHeaderNames.UPGRADE,
           HttpHeaderNames.EXPECT);
 
-  private HopHeaders() {}
+  private HopByHopHeaders() {}
 
-  /** Returns a copy without the headers of one connection, and those that the sender names so. */
+  /** Returns a copy without the hop-by-hop headers, including those named in Connection headers. */
   static HttpHeaders copyWithout(HttpHeaders headers) {
     HttpHeaders copy = new DefaultHttpHeaders(false);
     copy.add(headers);
--- a/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/CrashingRequestTest.java
@@ -36,7 +36,7 @@
           write(out, "HTTP/1.1 200 OK\r\nX-Attempt: a1\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\n");
           return false;
         }
-        write(out, whole(head, "served"));
+        write(out, wholeAnswer(head, "served"));
         return true;
       };
 
@@ -48,7 +48,7 @@
 
   private long countArrivals(String path) {
     return upstreams.stream()
-        .flatMap(upstream -> upstream.heads().stream())
+        .flatMap(upstream -> upstream.requestHeads().stream())
         .filter(head -> head.contains(" " + path + " "))
         .count();
   }
@@ -170,6 +170,6 @@
     loop.submit(() -> quarantine.applyReports(List.of(report))).sync();
     assertThat(answer.get(), startsWith("HTTP/1.1 502"));
     assertThat(closed.await(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS), is(true));
-    assertThat(upstream.heads().size(), is(1));
+    assertThat(upstream.requestHeads().size(), is(1));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/FakeUpstream.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/FakeUpstream.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An upstream on loopback that answers each request as the test says, in raw bytes.
+ * Upstream on loopback that answers each request with the raw bytes of a script.
  *
  * <p>Thread-safe; one thread for each connection.
  */
 final class FakeUpstream implements AutoCloseable {
   private final ServerSocket listening;
   private final Script script;
-  private final List<String> heads = new CopyOnWriteArrayList<>();
+  private final List<String> requestHeads = new CopyOnWriteArrayList<>();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
   FakeUpstream(Script script) throws IOException {
@@ -30,10 +30,10 @@
     acceptor.start();
   }
 
-  /** Answers a request. */
+  /** Answers requests. */
   interface Script {
     /**
-     * Writes what the upstream sends for the request with this head; closes if it returns false.
+     * Writes the answer to the request with this head; the connection closes if it returns false.
      */
     boolean answer(String head, OutputStream out, Socket socket) throws Exception;
   }
@@ -42,8 +42,8 @@
     return "127.0.0.1:" + listening.getLocalPort();
   }
 
-  List<String> heads() {
-    return heads;
+  List<String> requestHeads() {
+    return requestHeads;
   }
 
   static String header(String head, String name) {
@@ -79,14 +79,14 @@
         if (head.isEmpty()) {
           return;
         }
-        heads.add(head);
+        requestHeads.add(head);
         if (!script.answer(head, socket.getOutputStream(), socket)) {
           return;
         }
         socket.getOutputStream().flush();
       }
     } catch (Exception e) {
-      // The other side closed, or the script wants the connection gone.
+      // The other side or the script closed the connection.
     }
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LeavingUpstreamTest.java
@@ -14,17 +14,17 @@
 
   private static final FakeUpstream.Script LEAVING =
       (head, out, socket) -> {
-        write(out, whole(head, "served").replace("X-Seal", "X-Leaving: 1\r\nX-Seal"));
+        write(out, wholeAnswer(head, "served").replace("X-Seal", "X-Leaving: 1\r\nX-Seal"));
         return true;
       };
 
   /** Calls until the upstream has had a request, and returns how many it has had 2 s later. */
   private int beginLeaving(FakeUpstream upstream) throws Exception {
-    while (upstream.heads().isEmpty()) {
+    while (upstream.requestHeads().isEmpty()) {
       call("/again/x");
     }
-    passTime(DRAIN_MS);
-    return upstream.heads().size();
+    advanceClock(DRAIN_MS);
+    return upstream.requestHeads().size();
   }
 
   private void callOften() throws Exception {
@@ -39,7 +39,7 @@
     upstream("i-2", SERVING);
     int before = beginLeaving(leaving);
     callOften();
-    assertThat(leaving.heads().size(), is(before));
+    assertThat(leaving.requestHeads().size(), is(before));
   }
 
   /** The list entry may be written again before the list marks the upstream as leaving. */
@@ -51,7 +51,7 @@
     list("i-1", leaving);
     list("i-2", serving);
     callOften();
-    assertThat(leaving.heads().size(), is(before));
+    assertThat(leaving.requestHeads().size(), is(before));
   }
 
   @Test
@@ -60,10 +60,10 @@
         upstream(
             "i-1",
             (head, out, socket) -> {
-              write(out, whole(head, "served").replace("X-Seal", "X-Leaving: 0\r\nX-Seal"));
+              write(out, wholeAnswer(head, "served").replace("X-Seal", "X-Leaving: 0\r\nX-Seal"));
               return true;
             });
     callOften();
-    assertThat(staying.heads().size(), is(CALLS));
+    assertThat(staying.requestHeads().size(), is(CALLS));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
@@ -11,22 +11,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The way of requests over real sockets on loopback, with upstreams that misbehave. */
+/** Tests the relay over real sockets on loopback, with upstreams that fail in different ways. */
 class RelayTest extends LoopbackRelay {
   @Test
-  void aWholeAnswerIsPassedOnWithItsSealAndTheAccountIsSet() throws Exception {
+  void aWholeAnswerIsForwardedWithItsSealAndTheAccountIsSet() throws Exception {
     FakeUpstream upstream =
         upstream(
             "i-1",
             (head, out, socket) -> {
-              write(out, whole(head, "hello"));
+              write(out, wholeAnswer(head, "hello"));
               return true;
             });
     String answer = call("/once/x?y=1");
     assertThat(answer, startsWith("HTTP/1.1 200"));
     assertThat(answer, containsString("X-Seal: s"));
     assertThat(answer, containsString("\r\n\r\nhello"));
-    String head = upstream.heads().get(0);
+    String head = upstream.requestHeads().get(0);
     assertThat(head, startsWith("GET /once/x?y=1 HTTP/1.1"));
     assertThat(FakeUpstream.header(head, "X-Account"), is("office"));
     assertThat(FakeUpstream.header(head, "X-Expect"), is("i-1"));
@@ -35,21 +35,21 @@
   }
 
   @Test
-  void anAnswerOfAnotherRequestIsPassedOver() throws Exception {
+  void anAnswerToAnotherRequestIsIgnored() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
           write(
               out,
               "HTTP/1.1 200 OK\r\nX-Attempt: old\r\nX-Seal: o\r\nContent-Length: 3\r\n\r\nold");
-          write(out, whole(head, "mine"));
+          write(out, wholeAnswer(head, "mine"));
           return true;
         });
     assertThat(call("/once/"), containsString("\r\n\r\nmine"));
   }
 
   @Test
-  void aSuccessWithoutSealIsNoAnswer() throws Exception {
+  void aSuccessWithoutSealIsNotForwarded() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aCutAnswerIsNotPassedOn() throws Exception {
+  void anIncompleteAnswerIsNotForwarded() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void whatMayHaveRunIsNotSentAgain() throws Exception {
+  void aRequestThatMayHaveRunIsNotSentAgain() throws Exception {
     FakeUpstream.Script reset =
         (head, out, socket) -> {
           socket.setSoLinger(true, 0);
@@ -82,11 +82,11 @@
     FakeUpstream one = upstream("i-1", reset);
     FakeUpstream two = upstream("i-2", reset);
     assertThat(call("/once/"), startsWith("HTTP/1.1 502"));
-    assertThat(one.heads().size() + two.heads().size(), is(1));
+    assertThat(one.requestHeads().size() + two.requestHeads().size(), is(1));
   }
 
   @Test
-  void whatMayBeRepeatedIsSentToAnotherUpstream() throws Exception {
+  void aRepeatableRequestIsSentToAnotherUpstream() throws Exception {
     List<String> order = new ArrayList<>();
     FakeUpstream.Script firstFails =
         (head, out, socket) -> {
@@ -96,7 +96,7 @@
               return false;
             }
           }
-          write(out, whole(head, "second"));
+          write(out, wholeAnswer(head, "second"));
           return true;
         };
     upstream("i-1", firstFails);
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void anUpstreamThatDidNotRunItLeadsToATrueRefusal() throws Exception {
+  void aRequestThatDidNotRunIsRefusedWithRetryAfter() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void aBrokenStreamIsTakenUpAtAnotherUpstreamAfterItsLastWholeEvent() throws Exception {
+  void aBrokenStreamIsResumedAtAnotherUpstreamAfterItsLastCompleteEvent() throws Exception {
     List<String> lastIds = new ArrayList<>();
     FakeUpstream.Script script =
         (head, out, socket) -> {
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void aStreamThatCannotGoOnDoesNotLookWhole() throws Exception {
+  void aStreamThatCannotBeResumedDoesNotEndAsComplete() throws Exception {
     upstream("i-1", BREAKS_OFF_MIDWAY);
     String answer = call("/stream/");
     assertThat(answer, containsString("id: 1"));
@@ -168,31 +168,31 @@
   }
 
   @Test
-  void oldKnowledgeOfKeysServesNobody() throws Exception {
+  void requestsAreRefusedWhileTheKeysAreOutdated() throws Exception {
     FakeUpstream upstream = upstream("i-1", (head, out, socket) -> true);
     freshness.mayTrustKeys = false;
     String answer = call("/once/");
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(answer.toLowerCase(), containsString("retry-after"));
-    assertThat(upstream.heads().isEmpty(), is(true));
+    assertThat(upstream.requestHeads().isEmpty(), is(true));
   }
 
   @Test
-  void anUnknownKeyIsNotDeniedOnOldKnowledge() throws Exception {
+  void anUnknownKeyIsNotRejectedWhileTheConfigurationIsUnproved() throws Exception {
     freshness.isProved = false;
     assertThat(call("/once/", "wrong", ""), startsWith("HTTP/1.1 503"));
   }
 
   @Test
-  void aStoppingProcessRefusesWhatItCouldNotEnd() throws Exception {
+  void aStoppingProcessRefusesNewRequests() throws Exception {
     FakeUpstream upstream = upstream("i-1", (head, out, socket) -> true);
     loop.submit(relay::refuseNew).sync();
     assertThat(call("/once/"), startsWith("HTTP/1.1 503"));
-    assertThat(upstream.heads().isEmpty(), is(true));
+    assertThat(upstream.requestHeads().isEmpty(), is(true));
   }
 
   @Test
-  void withoutAnyUpstreamTheRefusalSaysWhenToComeBack() throws Exception {
+  void aRefusalWithoutAnyUpstreamHasRetryAfter() throws Exception {
     String answer = call("/once/");
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void aSilentUpstreamEndsInAnAnswerAtTheDeadline() throws Exception {
+  void aSilentUpstreamLeadsToATimeoutAnswerAtTheDeadline() throws Exception {
     upstream(
         "i-1",
         (head, out, socket) -> {
--- a/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RestingUpstreamTest.java
@@ -35,23 +35,23 @@
   private void callOften(String path) throws Exception {
     for (int i = 0; i < CALLS; i++) {
       call(path);
-      passTime((REST_MS - REST_START_MS) / CALLS);
+      advanceClock((REST_MS - REST_START_MS) / CALLS);
     }
   }
 
   /** Calls until the rest is in force; returns the number of requests received until then. */
   private int beginRest(FakeUpstream upstream, String path) throws Exception {
-    while (upstream.heads().isEmpty()) {
+    while (upstream.requestHeads().isEmpty()) {
       call(path);
-      passTime(REST_START_MS / CALLS);
+      advanceClock(REST_START_MS / CALLS);
     }
-    passTime(REST_START_MS);
-    return upstream.heads().size();
+    advanceClock(REST_START_MS);
+    return upstream.requestHeads().size();
   }
 
   private void assertRestKept(FakeUpstream resting, int before, String path) throws Exception {
     callOften(path);
-    assertThat(resting.heads().size() - before, lessThanOrEqualTo(MAX_REQUESTS_IN_REST));
+    assertThat(resting.requestHeads().size() - before, lessThanOrEqualTo(MAX_REQUESTS_IN_REST));
   }
 
   @Test
@@ -98,9 +98,9 @@
   void anUpstreamGetsRequestsAgainAfterItsRest() throws Exception {
     FakeUpstream resting = upstream("i-1", NOT_RUN);
     int before = beginRest(resting, "/again/x");
-    passTime(REST_MS);
+    advanceClock(REST_MS);
     call("/again/x");
-    assertThat(resting.heads().size(), is(before + 1));
+    assertThat(resting.requestHeads().size(), is(before + 1));
   }
 
   @Test
@@ -111,7 +111,7 @@
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(answer.toLowerCase(), containsString("x-shoreroad-reason: held_back"));
     assertThat(answer.toLowerCase(), containsString("retry-after: "));
-    assertThat(resting.heads().size(), is(before));
+    assertThat(resting.requestHeads().size(), is(before));
   }
 
   /** Dates and other texts are not supported: the upstream is avoided only for a moment. */
@@ -128,8 +128,8 @@
               return true;
             });
     call("/again/x");
-    passTime(REST_START_MS);
+    advanceClock(REST_START_MS);
     call("/again/x");
-    assertThat(refusing.heads().size(), is(2));
+    assertThat(refusing.requestHeads().size(), is(2));
   }
 }
