--- a/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.shoreroad.daemon.peer.PeerCodec;
 import org.shoreroad.daemon.peer.PeerMessage;
-import org.shoreroad.member.Heartbeat;
+import org.shoreroad.member.MembershipMessage;
 import org.shoreroad.member.Membership;
 import org.shoreroad.member.MembershipTiming;
 import org.shoreroad.member.PeerStatus;
@@ -29,7 +29,7 @@
   private long bytes;
   private int dead = -1;
 
-  private record Message(int from, int to, Heartbeat heartbeat) {}
+  private record Message(int from, int to, MembershipMessage heartbeat) {}
 
   private MembershipBench(int size) {
     MembershipTiming timing = MembershipTiming.of(PERIOD_MS);
--- a/core/src/main/java/org/shoreroad/member/Membership.java
+++ b/core/src/main/java/org/shoreroad/member/Membership.java
@@ -54,7 +54,7 @@
    * @param nodeId whom it goes to
    * @param heartbeat the message
    */
-  public record Outgoing(String nodeId, Heartbeat heartbeat) {}
+  public record Outgoing(String nodeId, MembershipMessage heartbeat) {}
 
   /** What is known of a peer. */
   private static final class Peer {
@@ -212,7 +212,7 @@
    * @param nowNanos the monotonic time
    * @return what to send
    */
-  public List<Outgoing> receive(String from, Heartbeat heartbeat, long nowNanos) {
+  public List<Outgoing> receive(String from, MembershipMessage heartbeat, long nowNanos) {
     List<Outgoing> out = new ArrayList<>();
     Peer sender = peers.get(from);
     if (sender != null) {
@@ -221,7 +221,7 @@
     highestHeardOffset = Math.max(highestHeardOffset, heartbeat.appliedOffset());
     heartbeat.rumors().forEach(rumor -> hear(rumor, nowNanos));
     switch (heartbeat.type()) {
-      case PING -> out.add(message(from, Heartbeat.Type.ACK, heartbeat.sequence(), ""));
+      case PING -> out.add(message(from, MembershipMessage.Type.ACK, heartbeat.sequence(), ""));
       case PING_REQUEST -> ping(heartbeat.subject(), from, heartbeat.sequence(), nowNanos, out);
       case ACK, INDIRECT_ACK -> receiveAck(from, heartbeat, out);
       default -> throw new IllegalStateException("type " + heartbeat.type());
@@ -229,7 +229,7 @@
     return out;
   }
 
-  private void receiveAck(String from, Heartbeat heartbeat, List<Outgoing> out) {
+  private void receiveAck(String from, MembershipMessage heartbeat, List<Outgoing> out) {
     Probe probe = probes.remove(heartbeat.sequence());
     if (probe == null) {
       return;
@@ -238,7 +238,7 @@
       out.add(
           message(
               probe.onBehalfOf(),
-              Heartbeat.Type.INDIRECT_ACK,
+              MembershipMessage.Type.INDIRECT_ACK,
               probe.theirSequence(),
               probe.target()));
       return;
@@ -247,7 +247,7 @@
     hasContact = true;
     lastContactNanos = Math.max(lastContactNanos, probe.sentNanos());
     Peer peer = peers.get(probe.target());
-    if (peer != null && heartbeat.type() == Heartbeat.Type.ACK && from.equals(probe.target())) {
+    if (peer != null && heartbeat.type() == MembershipMessage.Type.ACK && from.equals(probe.target())) {
       clearSuspicion(peer);
     }
   }
@@ -269,7 +269,7 @@
       if (probe.onBehalfOf().isEmpty() && !probe.isAskedAround() && isLate) {
         entry.setValue(probe.withAskedAround());
         for (String helper : pickHelpers(probe.target())) {
-          out.add(message(helper, Heartbeat.Type.PING_REQUEST, entry.getKey(), probe.target()));
+          out.add(message(helper, MembershipMessage.Type.PING_REQUEST, entry.getKey(), probe.target()));
         }
       }
     }
@@ -363,12 +363,12 @@
     if (peer != null && peer.rumor.status() != PeerStatus.ALIVE) {
       board.post(peer.rumor, 1);
     }
-    out.add(message(target, Heartbeat.Type.PING, sequence, ""));
+    out.add(message(target, MembershipMessage.Type.PING, sequence, ""));
   }
 
-  private Outgoing message(String to, Heartbeat.Type type, long sequence, String subject) {
+  private Outgoing message(String to, MembershipMessage.Type type, long sequence, String subject) {
     return new Outgoing(
-        to, new Heartbeat(type, sequence, subject, appliedOffset, board.take(MAX_RUMORS)));
+        to, new MembershipMessage(type, sequence, subject, appliedOffset, board.take(MAX_RUMORS)));
   }
 
   /** Returns the next peer of the round; the dead are asked too, since they may come back. */
--- a/core/src/main/java/org/shoreroad/member/Heartbeat.java
+++ b/core/src/main/java/org/shoreroad/member/MembershipMessage.java
@@ -14,7 +14,7 @@
  * @param rumors news, at most {@link Membership#MAX_RUMORS}
  * @since 0.1
  */
-public record Heartbeat(
+public record MembershipMessage(
     Type type, long sequence, String subject, long appliedOffset, List<Rumor> rumors) {
   /** The types of message. */
   public enum Type {
@@ -29,7 +29,7 @@
   }
 
   /** Copies the rumors. */
-  public Heartbeat {
+  public MembershipMessage {
     rumors = List.copyOf(rumors);
   }
 }
--- a/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
+++ b/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
@@ -22,7 +22,7 @@
   private int cutBelow;
   private long messages;
 
-  private record Message(int from, int to, Heartbeat heartbeat) {}
+  private record Message(int from, int to, MembershipMessage heartbeat) {}
 
   /** Creates nodes that know each other. */
   public MembershipSimulation(int count, long seed) {
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
@@ -11,7 +11,7 @@
 import org.shoreroad.Verdict;
 import org.shoreroad.daemon.request.Submission;
 import org.shoreroad.intent.IntentRecord;
-import org.shoreroad.member.Heartbeat;
+import org.shoreroad.member.MembershipMessage;
 import org.shoreroad.member.PeerStatus;
 import org.shoreroad.member.Rumor;
 import org.shoreroad.state.Node;
@@ -132,7 +132,7 @@
     return in.readPayload(in.unpackBinaryHeader());
   }
 
-  private static void packHeartbeat(MessageBufferPacker out, Heartbeat beat) throws IOException {
+  private static void packHeartbeat(MessageBufferPacker out, MembershipMessage beat) throws IOException {
     out.packInt(beat.type().ordinal()).packLong(beat.sequence()).packString(beat.subject());
     out.packLong(beat.appliedOffset()).packArrayHeader(beat.rumors().size());
     for (Rumor rumor : beat.rumors()) {
@@ -141,8 +141,8 @@
     }
   }
 
-  private static Heartbeat unpackHeartbeat(MessageUnpacker in) throws IOException {
-    Heartbeat.Type type = ofOrdinal(Heartbeat.Type.values(), in.unpackInt());
+  private static MembershipMessage unpackHeartbeat(MessageUnpacker in) throws IOException {
+    MembershipMessage.Type type = ofOrdinal(MembershipMessage.Type.values(), in.unpackInt());
     long sequence = in.unpackLong();
     String subject = in.unpackString();
     long appliedOffset = in.unpackLong();
@@ -152,7 +152,7 @@
           new Rumor(
               in.unpackString(), ofOrdinal(PeerStatus.values(), in.unpackInt()), in.unpackLong()));
     }
-    return new Heartbeat(type, sequence, subject, appliedOffset, rumors);
+    return new MembershipMessage(type, sequence, subject, appliedOffset, rumors);
   }
 
   private static <T> T ofOrdinal(T[] values, int ordinal) {
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
@@ -5,7 +5,7 @@
 import org.shoreroad.Verdict;
 import org.shoreroad.daemon.request.Submission;
 import org.shoreroad.intent.IntentRecord;
-import org.shoreroad.member.Heartbeat;
+import org.shoreroad.member.MembershipMessage;
 import org.shoreroad.state.Node;
 
 /**
@@ -29,7 +29,7 @@
    *
    * @param heartbeat the heartbeat
    */
-  record Beat(Heartbeat heartbeat) implements PeerMessage {}
+  record Beat(MembershipMessage heartbeat) implements PeerMessage {}
 
   /**
    * Gateway to owner: a request.
--- a/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
@@ -22,7 +22,7 @@
 import org.shoreroad.daemon.request.Submission;
 import org.shoreroad.daemon.settings.Settings;
 import org.shoreroad.intent.IntentRecord;
-import org.shoreroad.member.Heartbeat;
+import org.shoreroad.member.MembershipMessage;
 import org.shoreroad.member.PeerStatus;
 import org.shoreroad.member.Rumor;
 import org.shoreroad.state.Node;
@@ -135,9 +135,9 @@
 
   @Test
   void testCodec_givesEveryMessageBack() {
-    Heartbeat beat =
-        new Heartbeat(
-            Heartbeat.Type.ACK, 7, "s", 9, List.of(new Rumor("n", PeerStatus.SUSPECT, 3)));
+    MembershipMessage beat =
+        new MembershipMessage(
+            MembershipMessage.Type.ACK, 7, "s", 9, List.of(new Rumor("n", PeerStatus.SUSPECT, 3)));
     IntentRecord intent = new IntentRecord(IntentRecord.Type.STARTING, "i", "k");
     List<PeerMessage> messages =
         List.of(
