--- a/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
@@ -105,10 +105,10 @@
 
   private void send(int from, List<Membership.Outgoing> outgoing) {
     for (Membership.Outgoing message : outgoing) {
-      PeerMessage.Beat beat = new PeerMessage.Beat(message.heartbeat());
+      PeerMessage.Beat beat = new PeerMessage.Beat(message.message());
       bytes += FRAME_BYTES + TCP_BYTES + PeerCodec.toBytes(beat).length;
       int to = Integer.parseInt(message.nodeId().substring("n-0123abcd".length()));
-      inFlight.add(new Message(from, to, message.heartbeat()));
+      inFlight.add(new Message(from, to, message.message()));
     }
   }
 }
--- a/core/src/main/java/org/shoreroad/member/Membership.java
+++ b/core/src/main/java/org/shoreroad/member/Membership.java
@@ -52,9 +52,9 @@
    * A message and whom it goes to.
    *
    * @param nodeId whom it goes to
-   * @param heartbeat the message
+   * @param message the message
    */
-  public record Outgoing(String nodeId, MembershipMessage heartbeat) {}
+  public record Outgoing(String nodeId, MembershipMessage message) {}
 
   /** What is known of a peer. */
   private static final class Peer {
--- a/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
+++ b/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
@@ -123,7 +123,7 @@
     for (Membership.Outgoing message : outgoing) {
       messages++;
       int to = Integer.parseInt(message.nodeId().substring(1));
-      inFlight.add(new Message(from, to, message.heartbeat()));
+      inFlight.add(new Message(from, to, message.message()));
     }
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
@@ -178,7 +178,7 @@
     for (Membership.Outgoing message : messages) {
       Node to = nodeById.get(message.nodeId());
       if (to != null) {
-        transport.send(to, new PeerMessage.Beat(message.heartbeat()), IGNORE);
+        transport.send(to, new PeerMessage.Beat(message.message()), IGNORE);
       }
     }
   }
