--- a/core/src/main/java/org/shoreroad/member/Membership.java
+++ b/core/src/main/java/org/shoreroad/member/Membership.java
@@ -153,7 +153,7 @@
   }
 
   /** Returns true if more than half of all processes are believed alive, the own one counted. */
-  public boolean isMajorityBelieved() {
+  public boolean isMajorityAlive() {
     return 2 * aliveIds().size() > peers.size() + 1;
   }
 
--- a/core/src/test/java/org/shoreroad/member/MembershipTest.java
+++ b/core/src/test/java/org/shoreroad/member/MembershipTest.java
@@ -56,8 +56,8 @@
     simulation.run(20);
     simulation.cut(3);
     simulation.run(60);
-    assertThat(simulation.node(0).isMajorityBelieved(), is(false));
-    assertThat(simulation.node(8).isMajorityBelieved(), is(true));
+    assertThat(simulation.node(0).isMajorityAlive(), is(false));
+    assertThat(simulation.node(8).isMajorityAlive(), is(true));
   }
 
   @Test
--- a/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
@@ -201,7 +201,7 @@
             statusById,
             appliedById,
             working,
-            membership.isMajorityBelieved(),
+            membership.isMajorityAlive(),
             membership.contactNanos(),
             membership.hasContact(),
             membership.highestHeardOffset());
