--- a/core/src/main/java/org/shoreroad/member/Membership.java
+++ b/core/src/main/java/org/shoreroad/member/Membership.java
@@ -46,7 +46,7 @@
   private long lastContactNanos;
   private boolean hasContact;
   private boolean isLeaving;
-  private long highestHeardOffset = -1;
+  private long highestPeerOffset = -1;
 
   /**
    * A message and whom it goes to.
@@ -148,8 +148,8 @@
   }
 
   /** Returns the greatest offset that any peer said it has applied, or -1. */
-  public long highestHeardOffset() {
-    return highestHeardOffset;
+  public long highestPeerOffset() {
+    return highestPeerOffset;
   }
 
   /** Returns true if more than half of all processes are believed alive, the own one counted. */
@@ -218,7 +218,7 @@
     if (sender != null) {
       sender.appliedOffset = Math.max(sender.appliedOffset, heartbeat.appliedOffset());
     }
-    highestHeardOffset = Math.max(highestHeardOffset, heartbeat.appliedOffset());
+    highestPeerOffset = Math.max(highestPeerOffset, heartbeat.appliedOffset());
     heartbeat.rumors().forEach(rumor -> hear(rumor, nowNanos));
     switch (heartbeat.type()) {
       case PING -> out.add(message(from, MembershipMessage.Type.ACK, heartbeat.sequence(), ""));
--- a/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
@@ -204,7 +204,7 @@
             membership.isMajorityAlive(),
             membership.contactNanos(),
             membership.hasContact(),
-            membership.highestHeardOffset());
+            membership.highestPeerOffset());
     if (!before.statusById().equals(statusById) || !before.workingNodes().equals(working)) {
       reportChanges(before, statusById);
       listeners.forEach(listener -> listener.accept(view));
@@ -236,7 +236,7 @@
 
   /** Asks a random live peer for its state while peers are ahead and the log is out of reach. */
   private void catchUp(long nowNanos) {
-    boolean isBehind = membership.highestHeardOffset() > control.state().appliedOffset();
+    boolean isBehind = membership.highestPeerOffset() > control.state().appliedOffset();
     boolean isDue =
         nowNanos - catchUpAskedNanos >= TimeUnit.MILLISECONDS.toNanos(CATCH_UP_RETRY_MS);
     if (!isBehind || !isDue || control.isInContact(nowNanos, settings.contactNanos())) {
