--- a/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
@@ -6,7 +6,7 @@
 import org.shoreroad.daemon.peer.PeerCodec;
 import org.shoreroad.daemon.peer.PeerMessage;
 import org.shoreroad.member.MembershipMessage;
-import org.shoreroad.member.Membership;
+import org.shoreroad.member.SwimMembership;
 import org.shoreroad.member.MembershipTiming;
 import org.shoreroad.member.PeerStatus;
 
@@ -23,7 +23,7 @@
   private static final int MEASURED_STEPS = 400;
   private static final int MAX_STEPS = 4_000;
 
-  private final List<Membership> nodes = new ArrayList<>();
+  private final List<SwimMembership> nodes = new ArrayList<>();
   private List<Message> inFlight = new ArrayList<>();
   private long nowNanos;
   private long bytes;
@@ -38,8 +38,8 @@
       ids.add("n-0123abcd" + i);
     }
     for (int i = 0; i < size; i++) {
-      Membership node =
-          new Membership(ids.get(i), timing, i, i * STEP_NANOS % (PERIOD_MS * 1_000_000));
+      SwimMembership node =
+          new SwimMembership(ids.get(i), timing, i, i * STEP_NANOS % (PERIOD_MS * 1_000_000));
       node.setNodes(ids);
       nodes.add(node);
     }
@@ -103,8 +103,8 @@
     }
   }
 
-  private void send(int from, List<Membership.Outgoing> outgoing) {
-    for (Membership.Outgoing message : outgoing) {
+  private void send(int from, List<SwimMembership.Outgoing> outgoing) {
+    for (SwimMembership.Outgoing message : outgoing) {
       PeerMessage.Beat beat = new PeerMessage.Beat(message.message());
       bytes += FRAME_BYTES + TCP_BYTES + PeerCodec.toBytes(beat).length;
       int to = Integer.parseInt(message.nodeId().substring("n-0123abcd".length()));
--- a/core/src/main/java/org/shoreroad/member/MembershipMessage.java
+++ b/core/src/main/java/org/shoreroad/member/MembershipMessage.java
@@ -11,7 +11,7 @@
  * @param sequence the number that an answer repeats
  * @param subject the process asked after, for the types that ask for another
  * @param appliedOffset how far the sender has applied the control stream
- * @param rumors news, at most {@link Membership#MAX_RUMORS}
+ * @param rumors news, at most {@link SwimMembership#MAX_RUMORS}
  * @since 0.1
  */
 public record MembershipMessage(
--- a/core/src/main/java/org/shoreroad/member/Membership.java
+++ b/core/src/main/java/org/shoreroad/member/SwimMembership.java
@@ -23,7 +23,7 @@
  *
  * @since 0.1
  */
-public final class Membership {
+public final class SwimMembership {
   /** How many others are asked to ask a silent peer. */
   public static final int HELPERS = 3;
 
@@ -84,7 +84,7 @@
    * @param seed the seed of the shuffling
    * @param nowNanos the monotonic time
    */
-  public Membership(String selfId, MembershipTiming timing, long seed, long nowNanos) {
+  public SwimMembership(String selfId, MembershipTiming timing, long seed, long nowNanos) {
     this.selfId = selfId;
     this.timing = timing;
     this.random = new Random(seed);
--- a/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
+++ b/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
@@ -13,7 +13,7 @@
   private static final MembershipTiming TIMING = MembershipTiming.of(300);
   private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  private final List<Membership> nodes = new ArrayList<>();
+  private final List<SwimMembership> nodes = new ArrayList<>();
   private final Set<Integer> silent = new HashSet<>();
   private final Random random;
   private List<Message> inFlight = new ArrayList<>();
@@ -32,13 +32,13 @@
       ids.add("n" + i);
     }
     for (int i = 0; i < count; i++) {
-      Membership node = new Membership("n" + i, TIMING, seed + i, 0);
+      SwimMembership node = new SwimMembership("n" + i, TIMING, seed + i, 0);
       node.setNodes(ids);
       nodes.add(node);
     }
   }
 
-  Membership node(int index) {
+  SwimMembership node(int index) {
     return nodes.get(index);
   }
 
@@ -119,8 +119,8 @@
         || random.nextInt(100) < lossPercent;
   }
 
-  private void send(int from, List<Membership.Outgoing> outgoing) {
-    for (Membership.Outgoing message : outgoing) {
+  private void send(int from, List<SwimMembership.Outgoing> outgoing) {
+    for (SwimMembership.Outgoing message : outgoing) {
       messages++;
       int to = Integer.parseInt(message.nodeId().substring(1));
       inFlight.add(new Message(from, to, message.message()));
--- a/core/src/test/java/org/shoreroad/member/MembershipTest.java
+++ b/core/src/test/java/org/shoreroad/member/SwimMembershipTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The dead are found everywhere, the living are not taken for dead, and the cost stays flat. */
-class MembershipTest {
+class SwimMembershipTest {
   @ParameterizedTest
   @ValueSource(ints = {3, 9, 27, 81})
   void testTick_deadNodeIsFoundEverywhere(int count) {
--- a/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
@@ -19,7 +19,7 @@
 import org.shoreroad.daemon.peer.PeerMessage;
 import org.shoreroad.daemon.peer.PeerTransport;
 import org.shoreroad.daemon.settings.Settings;
-import org.shoreroad.member.Membership;
+import org.shoreroad.member.SwimMembership;
 import org.shoreroad.member.PeerStatus;
 import org.shoreroad.state.CheckpointCodec;
 import org.shoreroad.state.ClusterState;
@@ -50,7 +50,7 @@
   private final ControlLog control;
   private final ControlAppender appender;
   private final Metrics metrics;
-  private final Membership membership;
+  private final SwimMembership membership;
   private final Duty duty = new Duty(NAME, this::tick);
   private final List<Consumer<MembershipView>> listeners = new CopyOnWriteArrayList<>();
   private final Map<String, Node> nodeById = new HashMap<>();
@@ -74,7 +74,7 @@
     this.metrics = metrics;
     long now = System.nanoTime();
     this.membership =
-        new Membership(
+        new SwimMembership(
             settings.nodeId(), settings.membershipTiming(), settings.nodeId().hashCode(), now);
     this.joinAskedNanos = now - TimeUnit.MILLISECONDS.toNanos(JOIN_RETRY_MS);
     this.catchUpAskedNanos = now;
@@ -174,8 +174,8 @@
     return TICK_MS;
   }
 
-  private void sendAll(List<Membership.Outgoing> messages) {
-    for (Membership.Outgoing message : messages) {
+  private void sendAll(List<SwimMembership.Outgoing> messages) {
+    for (SwimMembership.Outgoing message : messages) {
       Node to = nodeById.get(message.nodeId());
       if (to != null) {
         transport.send(to, new PeerMessage.Beat(message.message()), IGNORE);
