--- a/core/src/main/java/org/shoreroad/member/HubPlan.java
+++ b/core/src/main/java/org/shoreroad/member/HubPlan.java
@@ -52,7 +52,7 @@
    * @param others the other processes that can be told anything, not null
    * @return the plan
    */
-  public static HubPlan of(Place self, Collection<Place> others) {
+  public static HubPlan of(ProcessLocation self, Collection<ProcessLocation> others) {
     if (others.size() < FULL_MESH_LIMIT) {
       return new HubPlan(true, false, Set.of(), null);
     }
@@ -115,9 +115,9 @@
    * @param name the name of its incarnation, not null
    * @param zone its availability zone, not null
    */
-  public record Place(String name, String zone) {
+  public record ProcessLocation(String name, String zone) {
     /** Checks that both are there. */
-    public Place {
+    public ProcessLocation {
       Objects.requireNonNull(name, "name");
       Objects.requireNonNull(zone, "zone");
     }
@@ -127,7 +127,7 @@
 
     @Override
     public boolean equals(@Nullable Object other) {
-      return other instanceof Place place && name.equals(place.name) && zone.equals(place.zone);
+      return other instanceof ProcessLocation place && name.equals(place.name) && zone.equals(place.zone);
     }
 
     @Override
--- a/core/src/test/java/org/shoreroad/member/HubPlanTest.java
+++ b/core/src/test/java/org/shoreroad/member/HubPlanTest.java
@@ -13,24 +13,24 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 class HubPlanTest {
-  private static List<Place> places(int count, int zones) {
-    List<Place> places = new ArrayList<>();
+  private static List<ProcessLocation> places(int count, int zones) {
+    List<ProcessLocation> places = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      places.add(new Place("box-" + i + "~" + (i * 7919), "zone-" + i % zones));
+      places.add(new ProcessLocation("box-" + i + "~" + (i * 7919), "zone-" + i % zones));
     }
     return places;
   }
 
-  private static HubPlan planOf(Place self, List<Place> all) {
+  private static HubPlan planOf(ProcessLocation self, List<ProcessLocation> all) {
     return HubPlan.of(self, all.stream().filter(place -> !place.equals(self)).toList());
   }
 
   @Test
   void fewProcessesTellAllOthers() {
-    List<Place> all = places(12, 3);
+    List<ProcessLocation> all = places(12, 3);
     HubPlan plan = planOf(all.get(0), all);
     assertThat(plan.isFullMesh(), is(true));
     assertThat(planOf(places(13, 3).get(0), places(13, 3)).isFullMesh(), is(false));
@@ -38,11 +38,11 @@
 
   @Test
   void allDeriveTheSameHubsAndEachMemberHasOneInItsZone() {
-    List<Place> all = places(79, 4);
+    List<ProcessLocation> all = places(79, 4);
     Map<String, String> zones = new HashMap<>();
     all.forEach(place -> zones.put(place.name(), place.zone()));
     Set<Set<String>> views = new HashSet<>();
-    for (Place self : all) {
+    for (ProcessLocation self : all) {
       HubPlan plan = planOf(self, all);
       Set<String> view = new HashSet<>(plan.hubs());
       if (plan.isHub()) {
@@ -58,9 +58,9 @@
 
   @Test
   void everyZoneCanLoseAHub() {
-    List<Place> all = places(40, 17);
+    List<ProcessLocation> all = places(40, 17);
     Map<String, Integer> hubsByZone = new HashMap<>();
-    for (Place self : all) {
+    for (ProcessLocation self : all) {
       hubsByZone.merge(self.zone(), planOf(self, all).isHub() ? 1 : 0, Integer::sum);
     }
     assertThat(hubsByZone.values(), everyItem(greaterThanOrEqualTo(2)));
@@ -68,11 +68,11 @@
 
   @Test
   void theLossOfAHubMovesOnlyItsOwnMembers() {
-    List<Place> all = places(79, 4);
-    Place lost = all.stream().filter(place -> planOf(place, all).isHub()).findFirst().orElseThrow();
-    List<Place> left = all.stream().filter(place -> !place.equals(lost)).toList();
+    List<ProcessLocation> all = places(79, 4);
+    ProcessLocation lost = all.stream().filter(place -> planOf(place, all).isHub()).findFirst().orElseThrow();
+    List<ProcessLocation> left = all.stream().filter(place -> !place.equals(lost)).toList();
     int moved = 0;
-    for (Place self : left) {
+    for (ProcessLocation self : left) {
       HubPlan before = planOf(self, all);
       HubPlan after = planOf(self, left);
       boolean isNewHub = after.isHub() && !before.isHub();
--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -184,7 +184,7 @@
     this.relay = makeRelay(loop, calls);
     this.lag = new LoopLag(log, UPKEEP_MS);
     this.failureDetector = new FailureDetector(clockNanos);
-    HubPlan.Place place = new HubPlan.Place(name, settings.zone());
+    HubPlan.ProcessLocation place = new HubPlan.ProcessLocation(name, settings.zone());
     this.mesh = new PeerMesh(loop, clockNanos, log, place, new Teller(), this::learn);
     this.leases = new DomainLeases(store, loop, elapsed::nowNanos, log, name, mesh, fleet::domains);
     this.replicas = makeReplicas(loop);
--- a/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
@@ -7,7 +7,7 @@
 import org.shoreroad.edge.EventLog;
 import org.shoreroad.edge.sync.ListUpdate;
 import org.shoreroad.edge.sync.StorePosition;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 /** One other process: what was last heard of it, and the way to it. Used on the event loop. */
 final class Peer {
@@ -17,7 +17,7 @@
   /** How long a hub that did not answer is passed over. */
   private static final long OUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  private final Place place;
+  private final ProcessLocation place;
   private StorePosition position;
   private final PeerLink link;
   private final EventLog log;
@@ -33,7 +33,7 @@
    *
    * @param position the place of its announcement among all, not null
    */
-  Peer(Place place, StorePosition position, PeerLink link, EventLog log) {
+  Peer(ProcessLocation place, StorePosition position, PeerLink link, EventLog log) {
     this.place = place;
     this.position = position;
     this.link = link;
@@ -44,7 +44,7 @@
     return place.name();
   }
 
-  Place place() {
+  ProcessLocation place() {
     return place;
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -29,7 +29,7 @@
 import org.shoreroad.edge.sync.StorePosition;
 import org.shoreroad.fleet.FleetBox;
 import org.shoreroad.member.HubPlan;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 import org.shoreroad.routing.Rendezvous;
 
 /**
@@ -75,7 +75,7 @@
   private final LongSupplier clockNanos;
   private final EventLog log;
   private final RepeatingTimer timer;
-  private final Place self;
+  private final ProcessLocation self;
   private final HeartbeatSource source;
   private final Consumer<Heartbeat> listener;
   private final PeerChannels channels;
@@ -83,7 +83,7 @@
   private final List<FleetBox> reportsOfMembers = new ArrayList<>();
   private final List<FleetBox> reportsOfHubs = new ArrayList<>();
   private HubPlan plan;
-  private Set<Place> plannedPlaces = Set.of();
+  private Set<ProcessLocation> plannedPlaces = Set.of();
   private boolean isReader = true;
   private long plannedNanos;
   private long strangerNanos = Long.MIN_VALUE / 2;
@@ -96,7 +96,7 @@
       EventLoop loop,
       LongSupplier clockNanos,
       EventLog log,
-      Place self,
+      ProcessLocation self,
       HeartbeatSource source,
       Consumer<Heartbeat> listener) {
     this.loop = loop;
@@ -149,7 +149,7 @@
    * @param address where it takes heartbeats
    * @param position the place of its announcement among all: a later one counts, not null
    */
-  public void add(Place place, String address, StorePosition position) {
+  public void add(ProcessLocation place, String address, StorePosition position) {
     peers.add(place, address, position);
   }
 
@@ -372,7 +372,7 @@
       return;
     }
     plannedNanos = nowNanos;
-    Set<Place> usable = new HashSet<>();
+    Set<ProcessLocation> usable = new HashSet<>();
     for (Peer peer : peers.all()) {
       if (!peer.isOut(nowNanos)) {
         usable.add(peer.place());
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerTable.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 import org.shoreroad.edge.EventLog;
 import org.shoreroad.edge.sync.StorePosition;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 /**
  * The other processes: of each node the incarnation that announced itself last.
@@ -27,16 +27,16 @@
   private final EventLoop loop;
   private final LongSupplier clockNanos;
   private final EventLog log;
-  private final Place self;
+  private final ProcessLocation self;
   private final PeerChannels channels;
   private final Map<String, Peer> peers = new HashMap<>();
   private final Map<String, Announced> rivals = new HashMap<>();
 
   /** An announcement whose order to that of the known incarnation is unknown. */
-  private record Announced(Place place, String address, StorePosition position) {}
+  private record Announced(ProcessLocation place, String address, StorePosition position) {}
 
   PeerTable(
-      EventLoop loop, LongSupplier clockNanos, EventLog log, Place self, PeerChannels channels) {
+      EventLoop loop, LongSupplier clockNanos, EventLog log, ProcessLocation self, PeerChannels channels) {
     this.loop = loop;
     this.clockNanos = clockNanos;
     this.log = log;
@@ -63,7 +63,7 @@
    * Adds a process, or takes note that it announced itself again. An earlier incarnation of its
    * node is over.
    */
-  void add(Place place, String address, StorePosition position) {
+  void add(ProcessLocation place, String address, StorePosition position) {
     if (nodeOf(place.name()).equals(nodeOf(self.name()))) {
       return;
     }
@@ -82,7 +82,7 @@
     replace(other, place, address, position);
   }
 
-  private void replace(@Nullable Peer other, Place place, String address, StorePosition position) {
+  private void replace(@Nullable Peer other, ProcessLocation place, String address, StorePosition position) {
     if (other != null) {
       remove(other.name());
     }
--- a/edge/src/main/java/org/shoreroad/edge/peer/ProcessRegistry.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/ProcessRegistry.java
@@ -12,7 +12,7 @@
 import org.shoreroad.edge.sync.StoreRecord;
 import org.shoreroad.edge.sync.Topic;
 import org.shoreroad.edge.sync.TopicFollower;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 /**
  * Registry of the processes that have announced themselves in the store, including this one.
@@ -29,12 +29,12 @@
   private final EventLoop loop;
   private final EventLog log;
   private final PeerMesh mesh;
-  private final Place self;
+  private final ProcessLocation self;
   private @Nullable Announcement announcement;
   private StorePosition announced = StorePosition.NOWHERE;
 
   /** Creates a registry; {@link #announce} adds this process. */
-  public ProcessRegistry(Store store, EventLoop loop, EventLog log, PeerMesh mesh, Place self) {
+  public ProcessRegistry(Store store, EventLoop loop, EventLog log, PeerMesh mesh, ProcessLocation self) {
     this.store = store;
     this.loop = loop;
     this.log = log;
@@ -101,7 +101,7 @@
   private void add(StoreRecord record, byte[] value) {
     try {
       Announcement announcement = Announcement.parse(value);
-      Place place = new Place(record.key(), announcement.zone());
+      ProcessLocation place = new ProcessLocation(record.key(), announcement.zone());
       mesh.add(place, announcement.address(), record.position());
     } catch (IllegalArgumentException e) {
       log.write("announcement_unreadable", "peer", record.key(), "why", e.getMessage());
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
@@ -24,7 +24,7 @@
 import org.shoreroad.fleet.Incarnation;
 import org.shoreroad.limit.FleetLimits;
 import org.shoreroad.limit.RequestLimit;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 /** Several meshes on one event loop, over real connections on loopback. */
 class PeerMeshTest {
@@ -41,7 +41,7 @@
 
   /** One process: a mesh, what it has to say, and what it heard. */
   private final class Process implements PeerMesh.HeartbeatSource {
-    private final Place place;
+    private final ProcessLocation place;
     private final PeerMesh mesh;
     private final Set<String> reportsHeard = new HashSet<>();
     private final Set<Long> listHeard = new HashSet<>();
@@ -52,7 +52,7 @@
     private String address = "";
 
     Process(int number) {
-      place = new Place("box-" + number + "~" + number, "zone-" + number % ZONES);
+      place = new ProcessLocation("box-" + number + "~" + number, "zone-" + number % ZONES);
       limits = new FleetLimits(place.name());
       mesh = new PeerMesh(loop, System::nanoTime, log, place, this, this::hear);
       mesh.setSuspicionListener(this::learn);
@@ -311,7 +311,7 @@
     assertThat(alone.mesh.keptDomains(), is(Set.of()));
     onLoop(
         () -> {
-          alone.mesh.add(new Place("box-9~9", "zone-1"), "127.0.0.1:1", StorePosition.of(1, 1));
+          alone.mesh.add(new ProcessLocation("box-9~9", "zone-1"), "127.0.0.1:1", StorePosition.of(1, 1));
           return true;
         });
     assertThat(alone.mesh.keptDomains() == null, is(true));
@@ -374,9 +374,9 @@
     onLoop(
         () -> {
           one.mesh.add(
-              new Place("box-1~later", "zone-1"), processes.get(1).address, StorePosition.of(1, 9));
+              new ProcessLocation("box-1~later", "zone-1"), processes.get(1).address, StorePosition.of(1, 9));
           one.mesh.add(
-              new Place("box-1~earlier", "zone-1"),
+              new ProcessLocation("box-1~earlier", "zone-1"),
               processes.get(1).address,
               StorePosition.of(1, 4));
           return true;
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerTableTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerTableTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.shoreroad.edge.EventLog;
 import org.shoreroad.edge.sync.StorePosition;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 class PeerTableTest {
   private final EventLog log = new EventLog("t", System::nanoTime, OutputStream.nullOutputStream());
@@ -20,11 +20,11 @@
           new EmbeddedChannel().eventLoop(),
           System::nanoTime,
           log,
-          new Place("box-0~0", "z"),
+          new ProcessLocation("box-0~0", "z"),
           new PeerChannels(log, heartbeat -> {}, notice -> {}));
 
   private void add(String name, long era, long offset) {
-    table.add(new Place(name, "z"), "127.0.0.1:1", StorePosition.of(era, offset));
+    table.add(new ProcessLocation(name, "z"), "127.0.0.1:1", StorePosition.of(era, offset));
   }
 
   @Test
--- a/edge/src/test/java/org/shoreroad/edge/peer/ProcessRegistryTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/ProcessRegistryTest.java
@@ -20,14 +20,14 @@
 import org.shoreroad.edge.sync.StorePosition;
 import org.shoreroad.edge.sync.StoreRecord;
 import org.shoreroad.edge.sync.Topic;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 /** Announcements of processes, over restarts and over a store that comes back older. */
 class ProcessRegistryTest {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final EventLog log = new EventLog("t", System::nanoTime, OutputStream.nullOutputStream());
   private final FakeStore store = new FakeStore();
-  private final Place self = new Place("box-0~0", "z");
+  private final ProcessLocation self = new ProcessLocation("box-0~0", "z");
   private final PeerMesh mesh =
       new PeerMesh(channel.eventLoop(), System::nanoTime, log, self, new Silent(), beat -> {});
   private final ProcessRegistry registry =
