--- a/core/src/main/java/org/shoreroad/member/DomainClaims.java
+++ b/core/src/main/java/org/shoreroad/member/DomainClaims.java
@@ -110,7 +110,7 @@
    * @param domainCount how many domains there are
    * @param processCount how many processes are alive, this one among them; positive
    */
-  public Optional<String> toHandOn(
+  public Optional<String> surplusDomain(
       long nowNanos, Set<String> kept, int domainCount, int processCount) {
     int evenShare = (domainCount + processCount - 1) / processCount;
     if (kept.size() <= evenShare + 1 || nowNanos - handedOnNanos < HAND_ON_NANOS) {
--- a/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
+++ b/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
@@ -84,11 +84,11 @@
   @Test
   void oneDomainAtATimeIsHandedOnWhileTheShareIsUneven() {
     Set<String> kept = Set.of("a", "b", "c", "d");
-    assertThat(claims.toHandOn(0, kept, 4, 1), is(Optional.empty()));
-    assertThat(claims.toHandOn(0, kept, 4, 2), is(Optional.of("a")));
-    assertThat(claims.toHandOn(1, kept, 4, 2), is(Optional.empty()));
+    assertThat(claims.surplusDomain(0, kept, 4, 1), is(Optional.empty()));
+    assertThat(claims.surplusDomain(0, kept, 4, 2), is(Optional.of("a")));
+    assertThat(claims.surplusDomain(1, kept, 4, 2), is(Optional.empty()));
     assertThat(
-        claims.toHandOn(DomainClaims.HAND_ON_NANOS, Set.of("b", "c", "d"), 4, 2),
+        claims.surplusDomain(DomainClaims.HAND_ON_NANOS, Set.of("b", "c", "d"), 4, 2),
         is(Optional.empty()));
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -181,7 +181,7 @@
       claims
           .due(nowNanos, all, elsewhere, leases.keySet(), peers.names())
           .forEach(this::checkThenClaim);
-      claims.toHandOn(nowNanos, kept(), all.size(), peers.aliveCount()).ifPresent(this::handOn);
+      claims.surplusDomain(nowNanos, kept(), all.size(), peers.aliveCount()).ifPresent(this::handOn);
     }
     tellChanges();
   }
