--- a/edge/src/main/java/org/shoreroad/edge/peer/FailureDetector.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/FailureDetector.java
@@ -34,7 +34,7 @@
   }
 
   /** Asks the other processes about a box; to be repeated while the box is silent. */
-  public void raise(String id, String address) {
+  public void askPeers(String id, String address) {
     long nowNanos = clockNanos.getAsLong();
     Question question = own.get(id);
     if (question == null || nowNanos - question.raisedNanos > KEEP_NANOS) {
--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
@@ -171,7 +171,7 @@
     Reach reached = reach.reach(box.id(), isDoubtful, nowNanos);
     if (reached == Reach.LOST) {
       // The others need time to ask the box, so they are told before the list tells.
-      failureDetector.raise(box.id(), box.address());
+      failureDetector.askPeers(box.id(), box.address());
     }
     if (reached == Reach.LOST && !isListed) {
       // A head that only was cut off has been broken by its own engine by then.
--- a/edge/src/test/java/org/shoreroad/edge/peer/FailureDetectorTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/FailureDetectorTest.java
@@ -20,7 +20,7 @@
 
   private void raiseFor(int millis) {
     for (int i = 0; i <= millis; i += 100) {
-      failureDetector.raise(BOX, "h:1");
+      failureDetector.askPeers(BOX, "h:1");
       nowNanos += 100 * MILLI_NANOS;
     }
   }
