--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -424,7 +424,7 @@
 
   private void learn(Heartbeat heartbeat) {
     configuration.learn(heartbeat);
-    failureDetector.learn(heartbeat);
+    failureDetector.applyHeartbeat(heartbeat);
     ListUpdate told = heartbeat.listUpdate();
     listFollower.noteEra(told.end().era());
     if (told.isProof() && !mesh.isReader()) {
--- a/edge/src/main/java/org/shoreroad/edge/peer/FailureDetector.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/FailureDetector.java
@@ -61,7 +61,7 @@
   }
 
   /** Takes what a peer asks and what it found. */
-  public void learn(Heartbeat heartbeat) {
+  public void applyHeartbeat(Heartbeat heartbeat) {
     long nowNanos = clockNanos.getAsLong();
     heartbeat
         .askedUpstreams()
--- a/edge/src/test/java/org/shoreroad/edge/peer/FailureDetectorTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/FailureDetectorTest.java
@@ -28,25 +28,25 @@
   @Test
   void aBoxThatAnswersOnePeerIsNotDead() {
     raiseFor(2_000);
-    failureDetector.learn(from("p1", Map.of(), Set.of(BOX)));
-    failureDetector.learn(from("p2", Map.of(), Set.of()));
+    failureDetector.applyHeartbeat(from("p1", Map.of(), Set.of(BOX)));
+    failureDetector.applyHeartbeat(from("p2", Map.of(), Set.of()));
     assertThat(failureDetector.isSilentForAll(BOX, Set.of("p1", "p2")), is(false));
   }
 
   @Test
   void aBoxThatAnswersNobodyIsDead() {
     raiseFor(2_000);
-    failureDetector.learn(from("p1", Map.of(), Set.of(BOX)));
-    failureDetector.learn(from("p2", Map.of(), Set.of(BOX)));
+    failureDetector.applyHeartbeat(from("p1", Map.of(), Set.of(BOX)));
+    failureDetector.applyHeartbeat(from("p2", Map.of(), Set.of(BOX)));
     assertThat(failureDetector.isSilentForAll(BOX, Set.of("p1", "p2")), is(true));
-    failureDetector.learn(from("p2", Map.of(), Set.of()));
+    failureDetector.applyHeartbeat(from("p2", Map.of(), Set.of()));
     assertThat(failureDetector.isSilentForAll(BOX, Set.of("p1", "p2")), is(false));
   }
 
   @Test
   void nothingIsCertainBeforePeersHadTime() {
     raiseFor(500);
-    failureDetector.learn(from("p1", Map.of(), Set.of(BOX)));
+    failureDetector.applyHeartbeat(from("p1", Map.of(), Set.of(BOX)));
     assertThat(failureDetector.isSilentForAll(BOX, Set.of("p1")), is(false));
   }
 
@@ -60,7 +60,7 @@
 
   @Test
   void questionsOfPeersAreKeptForAWhile() {
-    failureDetector.learn(from("p1", Map.of("i-9", "h:9"), Set.of()));
+    failureDetector.applyHeartbeat(from("p1", Map.of("i-9", "h:9"), Set.of()));
     assertThat(failureDetector.askedByPeers(), is(Map.of("i-9", "h:9")));
     nowNanos += 2_000 * MILLI_NANOS;
     assertThat(failureDetector.askedByPeers(), is(Map.of()));
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -399,7 +399,7 @@
 
   @Test
   void aBoxThatPeersAskAboutIsAskedWithoutALease() {
-    failureDetector.learn(Heartbeats.of("p").withQuestions(Map.of("a", "a:1"), Set.of()));
+    failureDetector.applyHeartbeat(Heartbeats.of("p").withQuestions(Map.of("a", "a:1"), Set.of()));
     service.start();
     run(400);
     assertThat(engines.asked, hasItem("a"));
