--- a/edge/src/main/java/org/shoreroad/edge/peer/Digest.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Digest.java
@@ -46,14 +46,14 @@
     own.loads().forEach(load -> add(loads, load, 0));
     Set<String> suspected = new HashSet<>(own.suspectedUpstreams());
     Map<String, String> asked = new HashMap<>(own.askedUpstreams());
-    Set<String> kept = new HashSet<>(own.keptDomains());
+    Set<String> kept = new HashSet<>(own.ownedDomains());
     int processes = own.processes();
     for (Heard other : others) {
       long heldMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - other.heardNanos());
       other.heartbeat().loads().forEach(load -> add(loads, load, heldMs));
       suspected.addAll(other.heartbeat().suspectedUpstreams());
       asked.putAll(other.heartbeat().askedUpstreams());
-      kept.addAll(other.heartbeat().keptDomains());
+      kept.addAll(other.heartbeat().ownedDomains());
       processes += other.heartbeat().processes();
     }
     Set<String> silent = new HashSet<>(own.silentUpstreams());
@@ -100,8 +100,8 @@
         loads.add(rest);
       }
     }
-    Set<String> kept = new HashSet<>(total.keptDomains());
-    kept.removeAll(member.keptDomains());
+    Set<String> kept = new HashSet<>(total.ownedDomains());
+    kept.removeAll(member.ownedDomains());
     return new Heartbeat(
         total.sender(),
         total.sentNanos(),
--- a/edge/src/main/java/org/shoreroad/edge/peer/Heartbeat.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Heartbeat.java
@@ -29,7 +29,7 @@
  * @param askedUpstreams boxes that do not answer one of them: do they answer the receiver? By id,
  *     with their addresses
  * @param silentUpstreams the boxes asked about that do not answer any of them either
- * @param keptDomains the fabric domains that they keep
+ * @param ownedDomains the fabric domains that they keep
  * @param reports the newest status reports of engines, as boxes
  * @param listUpdate how far the sender has read the list of upstreams, and what a member lacks of
  *     it
@@ -50,7 +50,7 @@
     Set<String> suspectedUpstreams,
     Map<String, String> askedUpstreams,
     Set<String> silentUpstreams,
-    Set<String> keptDomains,
+    Set<String> ownedDomains,
     List<FleetBox> reports,
     ListUpdate listUpdate,
     List<CrashReport> crashReports,
@@ -67,7 +67,7 @@
     suspectedUpstreams = Set.copyOf(suspectedUpstreams);
     askedUpstreams = Map.copyOf(askedUpstreams);
     silentUpstreams = Set.copyOf(silentUpstreams);
-    keptDomains = Set.copyOf(keptDomains);
+    ownedDomains = Set.copyOf(ownedDomains);
     reports = List.copyOf(reports);
     Objects.requireNonNull(listUpdate, "listUpdate");
     crashReports = List.copyOf(crashReports);
@@ -103,7 +103,7 @@
         suspectedUpstreams,
         askedUpstreams,
         silentUpstreams,
-        keptDomains,
+        ownedDomains,
         reports,
         newListUpdate,
         crashReports,
--- a/edge/src/main/java/org/shoreroad/edge/peer/HeartbeatCodec.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/HeartbeatCodec.java
@@ -50,7 +50,7 @@
         out.packString(asked.getKey()).packString(asked.getValue());
       }
       packTexts(out, heartbeat.silentUpstreams());
-      packTexts(out, heartbeat.keptDomains());
+      packTexts(out, heartbeat.ownedDomains());
       out.packArrayHeader(heartbeat.reports().size());
       for (FleetBox report : heartbeat.reports()) {
         packBox(out, report);
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -211,7 +211,7 @@
       return null;
     }
     Set<String> kept = new HashSet<>();
-    speakers.forEach(heard -> kept.addAll(heard.heartbeat().keptDomains()));
+    speakers.forEach(heard -> kept.addAll(heard.heartbeat().ownedDomains()));
     return kept;
   }
 
