--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -265,15 +265,15 @@
     processFollower.spreadListings(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
     ports.storeEra().addListener(this::noteEra);
     listFollower.spareWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
-    leases.setChangeListener(mesh::hurry);
-    replicas.setUrgentChangeListener(mesh::hurry);
+    leases.setChangeListener(mesh::sendSoon);
+    replicas.setUrgentChangeListener(mesh::sendSoon);
     stalls.setSuspicionListener(
         head -> {
           mesh.suspect(Set.of(head));
           replicas.hurry();
         });
     mesh.setSuspicionListener(this::learnSuspicions);
-    backpressure.setLimitListener(mesh::hurry);
+    backpressure.setLimitListener(mesh::sendSoon);
     backpressure.setLeavingListener(fleet::noteLeaving);
     quarantine.setRecorder(quarantineRegistry::write);
     fleet.setServiceCheck(configuration::isDeclared);
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -294,7 +294,7 @@
   }
 
   /** Tells all peers soon, since something can't wait. */
-  public void hurry() {
+  public void sendSoon() {
     if (!isUrgent) {
       isUrgent = true;
       long sinceMs = TimeUnit.NANOSECONDS.toMillis(clockNanos.getAsLong() - sentNanos);
@@ -306,7 +306,7 @@
   /** Sends heartbeats soon if this process is a hub, to pass on what it has just received. */
   public void hurryAsHub() {
     if (isHub()) {
-      hurry();
+      sendSoon();
     }
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
@@ -181,7 +181,7 @@
         () -> {
           teller.reports =
               List.of(new FleetBox("i-1", "s", "h:1", "z", 1, false, "d", null, List.of(), null));
-          teller.mesh.hurry();
+          teller.mesh.sendSoon();
           return true;
         });
     assertThat(
