--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -433,7 +433,7 @@
     heartbeat.reports().forEach(fleet::updateByPeer);
     quarantine.applyReports(heartbeat.crashReports());
     if (backpressure.applyReports(heartbeat.limitReports())) {
-      mesh.hurryAsHub();
+      mesh.sendSoonIfHub();
     }
     learnSuspicions(heartbeat.suspectedUpstreams());
   }
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -304,7 +304,7 @@
   }
 
   /** Sends heartbeats soon if this process is a hub, to pass on what it has just received. */
-  public void hurryAsHub() {
+  public void sendSoonIfHub() {
     if (isHub()) {
       sendSoon();
     }
@@ -470,7 +470,7 @@
     }
     // Routing depends on heads only; reports of other members are not urgent.
     if (heartbeat.reports().stream().anyMatch(FleetBox::isHead)) {
-      hurryAsHub();
+      sendSoonIfHub();
     }
     listener.accept(heartbeat);
   }
