--- a/edge/src/main/java/org/shoreroad/edge/Upkeep.java
+++ b/edge/src/main/java/org/shoreroad/edge/Upkeep.java
@@ -65,7 +65,7 @@
     int processes = mesh.sharingCount();
     configuration.setProcessCount(processes);
     selector.setProcessCount(processes);
-    upstreams.setPeerLoads(mesh.newest());
+    upstreams.setPeerLoads(mesh.latestHeartbeats());
     backpressure.setSharers(mesh.sharers());
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -196,7 +196,7 @@
   }
 
   /** Returns the newest heartbeats that together speak for all others, with when each was heard. */
-  public Map<Heartbeat, Long> newest() {
+  public Map<Heartbeat, Long> latestHeartbeats() {
     Map<Heartbeat, Long> newest = new IdentityHashMap<>();
     for (Heard heard : speakers(Peer.ALIVE_NANOS)) {
       newest.put(heard.heartbeat(), heard.heardNanos());
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
@@ -104,7 +104,7 @@
     }
 
     int openElsewhere() {
-      return mesh.newest().keySet().stream()
+      return mesh.latestHeartbeats().keySet().stream()
           .flatMap(heartbeat -> heartbeat.loads().stream())
           .mapToInt(Heartbeat.Load::open)
           .sum();
