--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -269,7 +269,7 @@
     replicas.setUrgentChangeListener(mesh::sendSoon);
     stalls.setSuspicionListener(
         head -> {
-          mesh.suspect(Set.of(head));
+          mesh.sendSuspicion(Set.of(head));
           replicas.hurry();
         });
     mesh.setSuspicionListener(this::learnSuspicions);
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -254,7 +254,7 @@
   }
 
   /** Sends a notice of silent heads at once, to all processes or to the hub, which passes it on. */
-  public void suspect(Set<String> heads) {
+  public void sendSuspicion(Set<String> heads) {
     if (plan.isFullMesh()) {
       sendNotice(Scope.SELF, heads, peers.all());
     } else if (isHub()) {
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
@@ -237,7 +237,7 @@
     onLoop(
         () -> {
           teller.suspected.add("i-1");
-          teller.mesh.suspect(Set.of("i-1"));
+          teller.mesh.sendSuspicion(Set.of("i-1"));
           return true;
         });
     assertThat(
@@ -254,7 +254,7 @@
     onLoop(
         () -> {
           processes.get(0).suspected.add("i-1");
-          processes.get(0).mesh.suspect(Set.of("i-1"));
+          processes.get(0).mesh.sendSuspicion(Set.of("i-1"));
           return true;
         });
     assertThat(
