--- a/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
@@ -19,7 +19,7 @@
 
   private final ProcessLocation place;
   private StorePosition position;
-  private final PeerLink link;
+  private final PeerConnection link;
   private final EventLog log;
   private final ListProgress listProgress = new ListProgress();
   private long outSinceNanos = Long.MIN_VALUE / 2;
@@ -33,7 +33,7 @@
    *
    * @param position the place of its announcement among all, not null
    */
-  Peer(ProcessLocation place, StorePosition position, PeerLink link, EventLog log) {
+  Peer(ProcessLocation place, StorePosition position, PeerConnection link, EventLog log) {
     this.place = place;
     this.position = position;
     this.link = link;
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerLink.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerConnection.java
@@ -18,7 +18,7 @@
  * The connection to one other process, on which this one only sends; opened when it is needed and
  * again after a loss. Used on the event loop.
  */
-final class PeerLink {
+final class PeerConnection {
   private static final int CONNECT_TIMEOUT_MS = 800;
   private static final long RECONNECT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
@@ -37,7 +37,7 @@
   private long refusedNanos = Long.MIN_VALUE / 2;
   private long usedNanos;
 
-  PeerLink(
+  PeerConnection(
       EventLoop loop,
       LongSupplier clockNanos,
       EventLog log,
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerTable.java
@@ -87,7 +87,7 @@
       remove(other.name());
     }
     rivals.remove(place.name());
-    PeerLink link = new PeerLink(loop, clockNanos, log, place.name(), address, channels);
+    PeerConnection link = new PeerConnection(loop, clockNanos, log, place.name(), address, channels);
     peers.put(place.name(), new Peer(place, position, link, log));
     log.write("peer_known", "peer", place.name(), "address", address);
   }
