--- a/edge/src/main/java/org/shoreroad/edge/peer/Digest.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Digest.java
@@ -37,8 +37,8 @@
   static Heartbeat merge(
       Heartbeat own,
       Scope scope,
-      Collection<Heard> others,
-      Collection<Heard> witnesses,
+      Collection<ReceivedHeartbeat> others,
+      Collection<ReceivedHeartbeat> witnesses,
       List<FleetBox> reports,
       ListUpdate listUpdate,
       long nowNanos) {
@@ -48,8 +48,8 @@
     Map<String, String> asked = new HashMap<>(own.askedUpstreams());
     Set<String> kept = new HashSet<>(own.ownedDomains());
     int processes = own.processes();
-    for (Heard other : others) {
-      long heldMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - other.heardNanos());
+    for (ReceivedHeartbeat other : others) {
+      long heldMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - other.receivedNanos());
       other.heartbeat().loads().forEach(load -> add(loads, load, heldMs));
       suspected.addAll(other.heartbeat().suspectedUpstreams());
       asked.putAll(other.heartbeat().askedUpstreams());
@@ -147,7 +147,7 @@
    * A heartbeat and when it came.
    *
    * @param heartbeat the heartbeat
-   * @param heardNanos when it came, on the receiver's steady clock
+   * @param receivedNanos when it came, on the receiver's steady clock
    */
-  record Heard(Heartbeat heartbeat, long heardNanos) {}
+  record ReceivedHeartbeat(Heartbeat heartbeat, long receivedNanos) {}
 }
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -22,7 +22,7 @@
 import org.jspecify.annotations.Nullable;
 import org.shoreroad.edge.EventLog;
 import org.shoreroad.edge.RepeatingTimer;
-import org.shoreroad.edge.peer.Digest.Heard;
+import org.shoreroad.edge.peer.Digest.ReceivedHeartbeat;
 import org.shoreroad.edge.peer.Heartbeat.Scope;
 import org.shoreroad.edge.sync.DomainLeases;
 import org.shoreroad.edge.sync.ListUpdate;
@@ -198,15 +198,15 @@
   /** Returns the newest heartbeats that together speak for all others, with when each was heard. */
   public Map<Heartbeat, Long> latestHeartbeats() {
     Map<Heartbeat, Long> newest = new IdentityHashMap<>();
-    for (Heard heard : speakers(Peer.ALIVE_NANOS)) {
-      newest.put(heard.heartbeat(), heard.heardNanos());
+    for (ReceivedHeartbeat heard : speakers(Peer.ALIVE_NANOS)) {
+      newest.put(heard.heartbeat(), heard.receivedNanos());
     }
     return newest;
   }
 
   @Override
   public @Nullable Set<String> keptDomains() {
-    List<Heard> speakers = speakers(Peer.ALIVE_NANOS);
+    List<ReceivedHeartbeat> speakers = speakers(Peer.ALIVE_NANOS);
     if (speakers.isEmpty() && !peers.all().isEmpty()) {
       return null;
     }
@@ -315,7 +315,7 @@
   }
 
   /** Returns the heartbeats that together speak for all others, each process by one of them. */
-  private List<Heard> speakers(long windowNanos) {
+  private List<ReceivedHeartbeat> speakers(long windowNanos) {
     if (plan.isFullMesh()) {
       return toHeard(heard(Scope.SELF, windowNanos));
     }
@@ -331,8 +331,8 @@
         .orElse(List.of());
   }
 
-  private static List<Heard> toHeard(Collection<Peer> peers) {
-    return peers.stream().map(peer -> new Heard(peer.lastHeard(), peer.heardNanos())).toList();
+  private static List<ReceivedHeartbeat> toHeard(Collection<Peer> peers) {
+    return peers.stream().map(peer -> new ReceivedHeartbeat(peer.lastHeard(), peer.heardNanos())).toList();
   }
 
   /** Returns the peers whose newest heartbeat came within the time and has the scope. */
@@ -415,7 +415,7 @@
   private void sendAsHub(Heartbeat own, long nowNanos) {
     List<Peer> members = heard(Scope.MEMBER, Peer.ALIVE_NANOS);
     List<Peer> aliveHubs = heard(Scope.HUB, Peer.ALIVE_NANOS);
-    List<Heard> hubsHeard = toHeard(aliveHubs);
+    List<ReceivedHeartbeat> hubsHeard = toHeard(aliveHubs);
     List<FleetBox> reports = new ArrayList<>(own.reports());
     reports.addAll(reportsOfMembers);
     Heartbeat toHubs =
@@ -425,7 +425,7 @@
         .forEach(
             hub -> hub.sendExpectingAnswer(toHubs.withListUpdate(updateFor(hub, own)), nowNanos));
     reports.addAll(reportsOfHubs);
-    List<Heard> all = new ArrayList<>(toHeard(members));
+    List<ReceivedHeartbeat> all = new ArrayList<>(toHeard(members));
     all.addAll(hubsHeard);
     Heartbeat total =
         Digest.merge(own, Scope.REST, all, hubsHeard, reports, ListUpdate.NONE, nowNanos);
--- a/edge/src/test/java/org/shoreroad/edge/peer/DigestTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/DigestTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import org.shoreroad.edge.peer.Digest.Heard;
+import org.shoreroad.edge.peer.Digest.ReceivedHeartbeat;
 import org.shoreroad.edge.peer.Heartbeat.Load;
 import org.shoreroad.edge.peer.Heartbeat.Scope;
 import org.shoreroad.edge.sync.ListUpdate;
@@ -19,11 +19,11 @@
 class DigestTest {
   private static final long NOW_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  private static Heard heard(Heartbeat heartbeat, int agoMs) {
-    return new Heard(heartbeat, NOW_NANOS - TimeUnit.MILLISECONDS.toNanos(agoMs));
+  private static ReceivedHeartbeat heard(Heartbeat heartbeat, int agoMs) {
+    return new ReceivedHeartbeat(heartbeat, NOW_NANOS - TimeUnit.MILLISECONDS.toNanos(agoMs));
   }
 
-  private static Heartbeat merge(Heartbeat own, Scope scope, List<Heard> others) {
+  private static Heartbeat merge(Heartbeat own, Scope scope, List<ReceivedHeartbeat> others) {
     return Digest.merge(own, scope, others, others, List.of(), ListUpdate.NONE, NOW_NANOS);
   }
 
@@ -67,7 +67,7 @@
   void questionsGoToHubsButNotToMembers() {
     Heartbeat own = Heartbeats.of("hub").withQuestions(Map.of(), Set.of());
     Heartbeat member = Heartbeats.of("m").withQuestions(Map.of("i-1", "h:1"), Set.of());
-    List<Heard> others = List.of(heard(member, 0));
+    List<ReceivedHeartbeat> others = List.of(heard(member, 0));
     assertThat(merge(own, Scope.HUB, others).askedUpstreams(), is(Map.of("i-1", "h:1")));
     assertThat(merge(own, Scope.REST, others).askedUpstreams(), is(Map.of()));
   }
