--- a/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
@@ -25,7 +25,7 @@
   private long outSinceNanos = Long.MIN_VALUE / 2;
   private long usedNanos;
   private long awaitedSinceNanos;
-  private long heardNanos;
+  private long lastReceivedNanos;
   private @Nullable Heartbeat last;
 
   /**
@@ -57,21 +57,21 @@
     return position;
   }
 
-  void hear(Heartbeat heartbeat, long nowNanos) {
+  void receive(Heartbeat heartbeat, long nowNanos) {
     last = heartbeat;
-    heardNanos = nowNanos;
+    lastReceivedNanos = nowNanos;
   }
 
-  boolean isHeard(long windowNanos, long nowNanos) {
-    return last != null && nowNanos - heardNanos < windowNanos;
+  boolean hasHeartbeatWithin(long windowNanos, long nowNanos) {
+    return last != null && nowNanos - lastReceivedNanos < windowNanos;
   }
 
-  long heardNanos() {
-    return heardNanos;
+  long lastReceivedNanos() {
+    return lastReceivedNanos;
   }
 
   /** Returns the last heartbeat of a peer that was heard. */
-  Heartbeat lastHeard() {
+  Heartbeat lastHeartbeat() {
     return Objects.requireNonNull(last, "last");
   }
 
@@ -83,7 +83,7 @@
    * @param nowNanos the steady clock
    */
   ListUpdate listUpdate(Function<StorePosition, ListUpdate> listSince, long nowNanos) {
-    StorePosition held = lastHeard().listUpdate().end();
+    StorePosition held = lastHeartbeat().listUpdate().end();
     ListUpdate update = listSince.apply(listProgress.next(held, nowNanos));
     if (update.isProof()) {
       listProgress.noteTold(update.end(), nowNanos);
@@ -92,10 +92,10 @@
   }
 
   /** Returns true if it did not answer lately, so that others are to be hubs. */
-  boolean isOut(long nowNanos) {
+  boolean isUnresponsive(long nowNanos) {
     boolean hasFailed =
         nowNanos - outSinceNanos < OUT_NANOS || nowNanos - link.refusedNanos() < OUT_NANOS;
-    return hasFailed && !isHeard(ALIVE_NANOS, nowNanos);
+    return hasFailed && !hasHeartbeatWithin(ALIVE_NANOS, nowNanos);
   }
 
   /** Sends to a hub; one that stays silent for long is passed over. */
@@ -103,8 +103,8 @@
     if (nowNanos - usedNanos > ALIVE_NANOS) {
       awaitedSinceNanos = nowNanos;
     }
-    boolean isSilent = !isHeard(ALIVE_NANOS, nowNanos);
-    if (isSilent && nowNanos - awaitedSinceNanos > ALIVE_NANOS && !isOut(nowNanos)) {
+    boolean isSilent = !hasHeartbeatWithin(ALIVE_NANOS, nowNanos);
+    if (isSilent && nowNanos - awaitedSinceNanos > ALIVE_NANOS && !isUnresponsive(nowNanos)) {
       outSinceNanos = nowNanos;
       log.write("hub_silent", "peer", place.name());
     }
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -326,20 +326,20 @@
     }
     // The heartbeats of the present hub cover those of a former one.
     return heard(Scope.REST, windowNanos).stream()
-        .max(Comparator.comparingLong(peer -> peer.heardNanos()))
+        .max(Comparator.comparingLong(peer -> peer.lastReceivedNanos()))
         .map(peer -> toHeard(List.of(peer)))
         .orElse(List.of());
   }
 
   private static List<ReceivedHeartbeat> toHeard(Collection<Peer> peers) {
-    return peers.stream().map(peer -> new ReceivedHeartbeat(peer.lastHeard(), peer.heardNanos())).toList();
+    return peers.stream().map(peer -> new ReceivedHeartbeat(peer.lastHeartbeat(), peer.lastReceivedNanos())).toList();
   }
 
   /** Returns the peers whose newest heartbeat came within the time and has the scope. */
   private List<Peer> heard(Scope scope, long windowNanos) {
     long nowNanos = clockNanos.getAsLong();
     return peers.all().stream()
-        .filter(peer -> peer.isHeard(windowNanos, nowNanos) && peer.lastHeard().scope() == scope)
+        .filter(peer -> peer.hasHeartbeatWithin(windowNanos, nowNanos) && peer.lastHeartbeat().scope() == scope)
         .toList();
   }
 
@@ -374,7 +374,7 @@
     plannedNanos = nowNanos;
     Set<ProcessLocation> usable = new HashSet<>();
     for (Peer peer : peers.all()) {
-      if (!peer.isOut(nowNanos)) {
+      if (!peer.isUnresponsive(nowNanos)) {
         usable.add(peer.place());
       }
     }
@@ -431,7 +431,7 @@
         Digest.merge(own, Scope.REST, all, hubsHeard, reports, ListUpdate.NONE, nowNanos);
     for (Peer member : members) {
       ListUpdate update = member.listUpdate(source::listSince, nowNanos);
-      member.send(Digest.without(total, member.lastHeard(), update), nowNanos);
+      member.send(Digest.without(total, member.lastHeartbeat(), update), nowNanos);
     }
   }
 
@@ -449,7 +449,7 @@
 
   /** Returns the changes of the list for a peer if this process is a reader. */
   private ListUpdate updateFor(Peer peer, Heartbeat own) {
-    if (!isReader || !peer.isHeard(Peer.ALIVE_NANOS, clockNanos.getAsLong())) {
+    if (!isReader || !peer.hasHeartbeatWithin(Peer.ALIVE_NANOS, clockNanos.getAsLong())) {
       return own.listUpdate();
     }
     ListUpdate update = peer.listUpdate(source::listSince, clockNanos.getAsLong());
@@ -462,7 +462,7 @@
       strangerNanos = clockNanos.getAsLong();
       return;
     }
-    peer.hear(heartbeat, clockNanos.getAsLong());
+    peer.receive(heartbeat, clockNanos.getAsLong());
     if (heartbeat.scope() == Scope.MEMBER) {
       reportsOfMembers.addAll(heartbeat.reports());
     } else if (heartbeat.scope() == Scope.HUB) {
