--- a/edge/src/main/java/org/shoreroad/edge/peer/ListProgress.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/ListProgress.java
@@ -37,7 +37,7 @@
   }
 
   /** Records that all records before the position have been sent. */
-  void noteTold(StorePosition end, long nowNanos) {
+  void recordSent(StorePosition end, long nowNanos) {
     if (told.isEmpty() || !told.peekLast().end().hasReached(end)) {
       told.addLast(new Told(end, nowNanos));
     }
--- a/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
@@ -86,7 +86,7 @@
     StorePosition held = lastHeartbeat().listUpdate().end();
     ListUpdate update = listSince.apply(listProgress.next(held, nowNanos));
     if (update.isProof()) {
-      listProgress.noteTold(update.end(), nowNanos);
+      listProgress.recordSent(update.end(), nowNanos);
     }
     return update;
   }
--- a/edge/src/test/java/org/shoreroad/edge/peer/ListProgressTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/ListProgressTest.java
@@ -20,23 +20,23 @@
   @Test
   void whatWasToldAMomentAgoIsNotToldAgain() {
     assertThat(progress.next(at(4), 0), is(at(4)));
-    progress.noteTold(at(9), 0);
+    progress.recordSent(at(9), 0);
     assertThat(progress.next(at(4), HEARTBEAT_NANOS), is(at(9)));
-    progress.noteTold(at(12), HEARTBEAT_NANOS);
+    progress.recordSent(at(12), HEARTBEAT_NANOS);
     assertThat(progress.next(at(9), 2 * HEARTBEAT_NANOS), is(at(12)));
   }
 
   @Test
   void whatThePeerDoesNotSayToHaveIsToldAgain() {
-    progress.noteTold(at(9), 0);
-    progress.noteTold(at(12), HEARTBEAT_NANOS);
+    progress.recordSent(at(9), 0);
+    progress.recordSent(at(12), HEARTBEAT_NANOS);
     assertThat(progress.next(at(4), 3 * HEARTBEAT_NANOS), is(at(12)));
     assertThat(progress.next(at(4), 3 * HEARTBEAT_NANOS + 1), is(at(4)));
   }
 
   @Test
   void aPeerThatOthersToldMoreGoesOnFromThere() {
-    progress.noteTold(at(9), 0);
+    progress.recordSent(at(9), 0);
     assertThat(progress.next(at(20), HEARTBEAT_NANOS), is(at(20)));
   }
 }
