--- a/core/src/main/java/org/shoreroad/member/RumorBoard.java
+++ b/core/src/main/java/org/shoreroad/member/RumorBuffer.java
@@ -12,13 +12,13 @@
  *
  * <p>Not thread-safe.
  */
-final class RumorBoard {
+final class RumorBuffer {
   private final Map<String, Posted> postedByNode = new HashMap<>();
 
   private record Posted(Rumor rumor, int sendsLeft) {}
 
   /** Posts a rumor in place of an earlier one of the same process. */
-  void post(Rumor rumor, int sends) {
+  void put(Rumor rumor, int sends) {
     postedByNode.put(rumor.nodeId(), new Posted(rumor, sends));
   }
 
--- a/core/src/main/java/org/shoreroad/member/SwimMembership.java
+++ b/core/src/main/java/org/shoreroad/member/SwimMembership.java
@@ -36,7 +36,7 @@
   private final MembershipTiming timing;
   private final Random random;
   private final Map<String, Peer> peers = new TreeMap<>();
-  private final RumorBoard board = new RumorBoard();
+  private final RumorBuffer board = new RumorBuffer();
   private final Map<Long, Probe> probes = new HashMap<>();
   private final List<String> round = new ArrayList<>();
   private long incarnation;
@@ -135,7 +135,7 @@
   public void leave() {
     isLeaving = true;
     incarnation++;
-    board.post(new Rumor(selfId, PeerStatus.LEAVING, incarnation), spreads());
+    board.put(new Rumor(selfId, PeerStatus.LEAVING, incarnation), spreads());
   }
 
   /** Returns what is believed of a process; one that does not exist is dead. */
@@ -258,7 +258,7 @@
       peer.suspectSinceNanos = 0;
       peer.rumor = new Rumor(peer.rumor.nodeId(), PeerStatus.ALIVE, peer.rumor.incarnation());
     } else if (peer.rumor.status() == PeerStatus.DEAD) {
-      board.post(peer.rumor, spreads());
+      board.put(peer.rumor, spreads());
     }
   }
 
@@ -343,14 +343,14 @@
       peer.isSuspectedByMe = false;
     }
     peer.rumor = rumor;
-    board.post(rumor, spreads());
+    board.put(rumor, spreads());
   }
 
   private void object(Rumor rumor) {
     PeerStatus own = statusOf(selfId);
     if (rumor.status().compareTo(own) > 0 && rumor.incarnation() >= incarnation) {
       incarnation = rumor.incarnation() + 1;
-      board.post(new Rumor(selfId, own, incarnation), spreads());
+      board.put(new Rumor(selfId, own, incarnation), spreads());
     }
   }
 
@@ -361,7 +361,7 @@
     // Whoever is thought suspect or dead is told, so that it can object.
     Peer peer = peers.get(target);
     if (peer != null && peer.rumor.status() != PeerStatus.ALIVE) {
-      board.post(peer.rumor, 1);
+      board.put(peer.rumor, 1);
     }
     out.add(message(target, MembershipMessage.Type.PING, sequence, ""));
   }
