--- a/core/src/main/java/org/shoreroad/member/Rumor.java
+++ b/core/src/main/java/org/shoreroad/member/Rumor.java
@@ -13,7 +13,7 @@
  */
 public record Rumor(String nodeId, PeerStatus status, long incarnation) {
   /** Returns true if this rumor counts and the other does not. */
-  public boolean isNewerThan(Rumor other) {
+  public boolean overrides(Rumor other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
     }
--- a/core/src/main/java/org/shoreroad/member/SwimMembership.java
+++ b/core/src/main/java/org/shoreroad/member/SwimMembership.java
@@ -335,7 +335,7 @@
       return;
     }
     Peer peer = peers.get(rumor.nodeId());
-    if (peer == null || !rumor.isNewerThan(peer.rumor)) {
+    if (peer == null || !rumor.overrides(peer.rumor)) {
       return;
     }
     if (rumor.status() == PeerStatus.SUSPECT) {
