--- a/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
+++ b/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
@@ -56,7 +56,7 @@
     silent.add(index);
   }
 
-  void unsilence(int index) {
+  void endSilence(int index) {
     silent.remove(index);
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Returns how many other nodes that are not silent believe this of a node. */
-  public int countBelieving(int index, PeerStatus status) {
+  public int countViewsWithStatus(int index, PeerStatus status) {
     int count = 0;
     for (int i = 0; i < nodes.size(); i++) {
       boolean isAsked = i != index && !silent.contains(i);
--- a/core/src/test/java/org/shoreroad/member/SwimMembershipTest.java
+++ b/core/src/test/java/org/shoreroad/member/SwimMembershipTest.java
@@ -17,10 +17,10 @@
     MembershipSimulation simulation = new MembershipSimulation(count, 1);
     simulation.run(20);
     simulation.silence(0);
-    int periods = simulation.runUntil(() -> simulation.countBelieving(0, PeerStatus.DEAD), 60);
+    int periods = simulation.runUntil(() -> simulation.countViewsWithStatus(0, PeerStatus.DEAD), 60);
     assertThat(periods, lessThan(60));
     for (int i = 1; i < count; i++) {
-      assertThat(simulation.countBelieving(i, PeerStatus.DEAD), is(0));
+      assertThat(simulation.countViewsWithStatus(i, PeerStatus.DEAD), is(0));
     }
   }
 
@@ -32,7 +32,7 @@
     for (int i = 0; i < 200; i++) {
       simulation.run(1);
       for (int node = 0; node < 27; node++) {
-        worst = Math.max(worst, simulation.countBelieving(node, PeerStatus.DEAD));
+        worst = Math.max(worst, simulation.countViewsWithStatus(node, PeerStatus.DEAD));
       }
     }
     assertThat(worst, is(0));
@@ -44,9 +44,9 @@
     simulation.run(20);
     simulation.silence(4);
     simulation.run(40);
-    assertThat(simulation.countBelieving(4, PeerStatus.DEAD), is(8));
-    simulation.unsilence(4);
-    int periods = simulation.runUntil(() -> simulation.countBelieving(4, PeerStatus.ALIVE), 60);
+    assertThat(simulation.countViewsWithStatus(4, PeerStatus.DEAD), is(8));
+    simulation.endSilence(4);
+    int periods = simulation.runUntil(() -> simulation.countViewsWithStatus(4, PeerStatus.ALIVE), 60);
     assertThat(periods, lessThan(60));
   }
 
@@ -65,7 +65,7 @@
     MembershipSimulation simulation = new MembershipSimulation(9, 5);
     simulation.run(20);
     simulation.node(2).leave();
-    int periods = simulation.runUntil(() -> simulation.countBelieving(2, PeerStatus.LEAVING), 40);
+    int periods = simulation.runUntil(() -> simulation.countViewsWithStatus(2, PeerStatus.LEAVING), 40);
     assertThat(periods, lessThan(40));
     assertThat(simulation.node(0).workingIds().contains("n2"), is(false));
     assertThat(simulation.node(0).aliveIds().contains("n2"), is(true));
