--- a/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
+++ b/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
@@ -13,15 +13,15 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Which domains a process claims and hands on. */
+/** Tests of the domains that a process claims and gives up. */
 class DomainClaimsTest {
   private static final Set<String> ONE = Set.of("d");
   private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   private final DomainClaims claims = new DomainClaims("me");
 
-  /** Returns how long the domain is unkept before it is claimed. */
-  private static long waitNanos(DomainClaims claims, Set<String> own, List<String> others) {
+  /** Returns the time without an owner until the domain is claimed, in nanoseconds. */
+  private static long delayNanos(DomainClaims claims, Set<String> own, List<String> others) {
     for (long nanos = 0; ; nanos += STEP_NANOS) {
       if (!claims.due(nanos, ONE, Set.of(), own, others).isEmpty()) {
         return nanos;
@@ -30,51 +30,51 @@
   }
 
   @Test
-  void aDomainThatAnotherKeepsIsLeftAlone() {
+  void domainOfAnotherOwnerIsNotClaimed() {
     for (long nanos = 0; nanos < 60_000_000_000L; nanos += STEP_NANOS) {
       assertThat(claims.due(nanos, ONE, ONE, Set.of(), List.of("other")), is(empty()));
     }
   }
 
   @Test
-  void aDomainThatNobodyKeepsIsClaimedOnceThatMustBeKnown() {
-    assertThat(waitNanos(claims, Set.of(), List.of()), is(DomainClaims.UNKEPT_NANOS));
+  void domainWithoutOwnerIsClaimedAfterMinimumDelay() {
+    assertThat(delayNanos(claims, Set.of(), List.of()), is(DomainClaims.UNOWNED_NANOS));
   }
 
   @Test
-  void aDomainThatIsKeptAgainInBetweenStartsAnew() {
+  void ownerInBetweenRestartsTheDelay() {
     claims.due(0, ONE, Set.of(), Set.of(), List.of());
-    claims.due(DomainClaims.UNKEPT_NANOS - 1, ONE, ONE, Set.of(), List.of());
-    long nowNanos = DomainClaims.UNKEPT_NANOS + 1;
+    claims.due(DomainClaims.UNOWNED_NANOS - 1, ONE, ONE, Set.of(), List.of());
+    long nowNanos = DomainClaims.UNOWNED_NANOS + 1;
     assertThat(claims.due(nowNanos, ONE, Set.of(), Set.of(), List.of()), is(empty()));
   }
 
   @Test
-  void ofManyProcessesEachWaitsForThoseThatRankHigher() {
+  void delayGrowsWithRank() {
     List<String> names = List.of("a", "b", "c", "d", "e");
     Set<Long> waits = new HashSet<>();
     for (String name : names) {
-      waits.add(waitNanos(new DomainClaims(name), Set.of(), names));
+      waits.add(delayNanos(new DomainClaims(name), Set.of(), names));
     }
     assertThat(waits.size(), is(names.size()));
   }
 
   @Test
-  void whoKeepsMuchClaimsLaterButInTime() {
-    long idleNanos = waitNanos(new DomainClaims("me"), Set.of(), List.of());
-    long busyNanos = waitNanos(new DomainClaims("me"), Set.of("x", "y"), List.of());
+  void delayGrowsWithOwnedDomainsUpToLimit() {
+    long idleNanos = delayNanos(new DomainClaims("me"), Set.of(), List.of());
+    long busyNanos = delayNanos(new DomainClaims("me"), Set.of("x", "y"), List.of());
     assertThat(busyNanos, greaterThan(idleNanos));
     Set<String> many = new HashSet<>();
     for (int i = 0; i < 500; i++) {
       many.add("x" + i);
     }
     assertThat(
-        waitNanos(new DomainClaims("me"), many, List.of()),
-        lessThanOrEqualTo(DomainClaims.UNKEPT_NANOS + DomainClaims.MAX_KEPT_NANOS));
+        delayNanos(new DomainClaims("me"), many, List.of()),
+        lessThanOrEqualTo(DomainClaims.UNOWNED_NANOS + DomainClaims.MAX_OWNED_NANOS));
   }
 
   @Test
-  void aPostponedDomainIsClaimedOnlyAfterItsTime() {
+  void postponedDomainIsClaimedOnlyAfterItsTime() {
     claims.due(0, ONE, Set.of(), Set.of(), List.of());
     claims.postpone("d", 5_000_000_000L);
     assertThat(claims.due(4_999_999_999L, ONE, Set.of(), Set.of(), List.of()), is(empty()));
@@ -82,13 +82,13 @@
   }
 
   @Test
-  void oneDomainAtATimeIsHandedOnWhileTheShareIsUneven() {
-    Set<String> kept = Set.of("a", "b", "c", "d");
-    assertThat(claims.surplusDomain(0, kept, 4, 1), is(Optional.empty()));
-    assertThat(claims.surplusDomain(0, kept, 4, 2), is(Optional.of("a")));
-    assertThat(claims.surplusDomain(1, kept, 4, 2), is(Optional.empty()));
+  void surplusDomainsAreGivenUpOneAtATime() {
+    Set<String> owned = Set.of("a", "b", "c", "d");
+    assertThat(claims.surplusDomain(0, owned, 4, 1), is(Optional.empty()));
+    assertThat(claims.surplusDomain(0, owned, 4, 2), is(Optional.of("a")));
+    assertThat(claims.surplusDomain(1, owned, 4, 2), is(Optional.empty()));
     assertThat(
-        claims.surplusDomain(DomainClaims.HAND_ON_NANOS, Set.of("b", "c", "d"), 4, 2),
+        claims.surplusDomain(DomainClaims.GIVE_UP_INTERVAL_NANOS, Set.of("b", "c", "d"), 4, 2),
         is(Optional.empty()));
   }
 }
