--- a/core/src/main/java/org/shoreroad/member/HubPlan.java
+++ b/core/src/main/java/org/shoreroad/member/HubPlan.java
@@ -12,24 +12,24 @@
 import org.shoreroad.routing.Rendezvous;
 
 /**
- * Who tells whom in a system of many processes.
+ * Topology of the heartbeats: a full mesh in a small system, hubs in a large one.
  *
- * <p>A few processes tell each other everything at once. Where there are many, that would cost each
- * of them a message to each other one; so some of every availability zone are hubs. A hub tells the
- * other hubs what its members told it, and its members what it heard from all others: two hops
- * more, and the messages of a member no longer grow with the system. Every process derives the same
- * hubs from the same names, without a word or a vote. This class is immutable and thread-safe.
+ * <p>In a full mesh each process sends heartbeats to all others, so the number of messages per
+ * process grows with the system. In a large system some processes of each availability zone are
+ * hubs, and each other process is a member of one hub. A hub sends the state of its members to the
+ * other hubs, and the state of all other processes to its members. This costs two more hops, but
+ * the number of messages of a member does not depend on the size of the system. Each process
+ * computes the same hubs from the same names, without communication. This class is immutable and
+ * thread-safe.
  *
  * @since 0.2
  */
 public final class HubPlan {
-  /**
-   * Up to this many processes each tells all others: their messages cost less than the two hops.
-   */
+  /** Maximum number of processes in a full mesh: up to here messages cost less than two hops. */
   private static final int FULL_MESH_LIMIT = 12;
 
-  /** One hub of a zone may be lost at any time. */
-  private static final int LEAST_HUBS_PER_ZONE = 2;
+  /** Minimum number of hubs per zone, so that a zone can lose one at any time. */
+  private static final int MIN_HUBS_PER_ZONE = 2;
 
   private static final String RANK_KEY = "hub";
 
@@ -46,11 +46,10 @@
   }
 
   /**
-   * Returns the plan as one process sees it.
+   * Returns the plan from the view of one process.
    *
    * @param self this process, not null
-   * @param others the other processes that can be told anything, not null
-   * @return the plan
+   * @param others the other processes that can receive heartbeats, not null
    */
   public static HubPlan of(ProcessLocation self, Collection<ProcessLocation> others) {
     if (others.size() < FULL_MESH_LIMIT) {
@@ -59,25 +58,24 @@
     Map<String, Set<String>> namesByZone = new TreeMap<>();
     namesByZone.computeIfAbsent(self.zone(), zone -> new TreeSet<>()).add(self.name());
     others.forEach(
-        place ->
-            namesByZone.computeIfAbsent(place.zone(), zone -> new TreeSet<>()).add(place.name()));
-    // As many hubs as members of each hub: then neither has more messages than need be.
-    double hubsInAll = Math.sqrt(others.size() + 1.0);
-    int hubsPerZone =
-        Math.max(LEAST_HUBS_PER_ZONE, (int) Math.ceil(hubsInAll / namesByZone.size()));
+        other ->
+            namesByZone.computeIfAbsent(other.zone(), zone -> new TreeSet<>()).add(other.name()));
+    // With as many hubs as members per hub, the larger number of messages per process is minimal.
+    double totalHubs = Math.sqrt(others.size() + 1.0);
+    int hubsPerZone = Math.max(MIN_HUBS_PER_ZONE, (int) Math.ceil(totalHubs / namesByZone.size()));
     Set<String> hubs = new HashSet<>();
-    Set<String> nearHubs = new HashSet<>();
+    Set<String> zoneHubs = new HashSet<>();
     namesByZone.forEach(
         (zone, names) -> {
-          Set<String> chosen = new HashSet<>(rank(names).subList(0, least(hubsPerZone, names)));
+          Set<String> chosen = new HashSet<>(rank(names).subList(0, atMost(hubsPerZone, names)));
           hubs.addAll(chosen);
           if (zone.equals(self.zone())) {
-            nearHubs.addAll(chosen);
+            zoneHubs.addAll(chosen);
           }
         });
     boolean isHub = hubs.remove(self.name());
     String ownHub =
-        isHub ? null : Rendezvous.choose(self.name(), nearHubs, name -> name).orElseThrow();
+        isHub ? null : Rendezvous.choose(self.name(), zoneHubs, name -> name).orElseThrow();
     return new HubPlan(false, isHub, hubs, ownHub);
   }
 
@@ -85,11 +83,11 @@
     return Rendezvous.rank(RANK_KEY, names, name -> name);
   }
 
-  private static int least(int count, Set<String> names) {
+  private static int atMost(int count, Set<String> names) {
     return Math.min(count, names.size());
   }
 
-  /** Returns true if every process tells all others. */
+  /** Returns true if every process sends heartbeats to all others. */
   public boolean isFullMesh() {
     return isFullMesh;
   }
@@ -99,35 +97,37 @@
     return isHub;
   }
 
-  /** Returns the names of the hubs, without this process. */
+  /** Returns the names of the hubs other than this process. */
   public Set<String> hubs() {
     return hubs;
   }
 
-  /** Returns the name of the hub that this process tells, or null for a hub and in a full mesh. */
+  /** Returns the name of the hub of this process, or null for a hub and in a full mesh. */
   public @Nullable String ownHub() {
     return ownHub;
   }
 
   /**
-   * Where a process stands.
+   * A process and its availability zone.
    *
-   * @param name the name of its incarnation, not null
-   * @param zone its availability zone, not null
+   * @param name the name of the incarnation of the process, not null
+   * @param zone the availability zone, not null
    */
   public record ProcessLocation(String name, String zone) {
-    /** Checks that both are there. */
+    /** Checks that no component is null. */
     public ProcessLocation {
       Objects.requireNonNull(name, "name");
       Objects.requireNonNull(zone, "zone");
     }
 
-    // Written out: the generated methods are method handles, which cost 20 to 40 ms of processor
-    // time at their first use in a process.
+    // Explicit, since the generated methods are method handles, whose first use in a process costs
+    // 20 to 40 ms of processor time.
 
     @Override
     public boolean equals(@Nullable Object other) {
-      return other instanceof ProcessLocation place && name.equals(place.name) && zone.equals(place.zone);
+      return other instanceof ProcessLocation location
+          && name.equals(location.name)
+          && zone.equals(location.zone);
     }
 
     @Override
--- a/core/src/test/java/org/shoreroad/member/HubPlanTest.java
+++ b/core/src/test/java/org/shoreroad/member/HubPlanTest.java
@@ -16,49 +16,49 @@
 import org.shoreroad.member.HubPlan.ProcessLocation;
 
 class HubPlanTest {
-  private static List<ProcessLocation> places(int count, int zones) {
-    List<ProcessLocation> places = new ArrayList<>();
+  private static List<ProcessLocation> locations(int count, int zones) {
+    List<ProcessLocation> locations = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      places.add(new ProcessLocation("box-" + i + "~" + (i * 7919), "zone-" + i % zones));
+      locations.add(new ProcessLocation("box-" + i + "~" + (i * 7919), "zone-" + i % zones));
     }
-    return places;
+    return locations;
   }
 
   private static HubPlan planOf(ProcessLocation self, List<ProcessLocation> all) {
-    return HubPlan.of(self, all.stream().filter(place -> !place.equals(self)).toList());
+    return HubPlan.of(self, all.stream().filter(location -> !location.equals(self)).toList());
   }
 
   @Test
-  void fewProcessesTellAllOthers() {
-    List<ProcessLocation> all = places(12, 3);
+  void fewProcessesFormAFullMesh() {
+    List<ProcessLocation> all = locations(12, 3);
     HubPlan plan = planOf(all.get(0), all);
     assertThat(plan.isFullMesh(), is(true));
-    assertThat(planOf(places(13, 3).get(0), places(13, 3)).isFullMesh(), is(false));
+    assertThat(planOf(locations(13, 3).get(0), locations(13, 3)).isFullMesh(), is(false));
   }
 
   @Test
-  void allDeriveTheSameHubsAndEachMemberHasOneInItsZone() {
-    List<ProcessLocation> all = places(79, 4);
+  void allProcessesComputeTheSameHubsAndMembersHaveAHubInTheirZone() {
+    List<ProcessLocation> all = locations(79, 4);
     Map<String, String> zones = new HashMap<>();
-    all.forEach(place -> zones.put(place.name(), place.zone()));
-    Set<Set<String>> views = new HashSet<>();
+    all.forEach(location -> zones.put(location.name(), location.zone()));
+    Set<Set<String>> hubSets = new HashSet<>();
     for (ProcessLocation self : all) {
       HubPlan plan = planOf(self, all);
-      Set<String> view = new HashSet<>(plan.hubs());
+      Set<String> hubs = new HashSet<>(plan.hubs());
       if (plan.isHub()) {
-        view.add(self.name());
+        hubs.add(self.name());
       } else {
         assertThat(zones.get(plan.ownHub()), is(self.zone()));
         assertThat(plan.hubs().contains(plan.ownHub()), is(true));
       }
-      views.add(view);
+      hubSets.add(hubs);
     }
-    assertThat(views.size(), is(1));
+    assertThat(hubSets.size(), is(1));
   }
 
   @Test
-  void everyZoneCanLoseAHub() {
-    List<ProcessLocation> all = places(40, 17);
+  void everyZoneHasTwoHubs() {
+    List<ProcessLocation> all = locations(40, 17);
     Map<String, Integer> hubsByZone = new HashMap<>();
     for (ProcessLocation self : all) {
       hubsByZone.merge(self.zone(), planOf(self, all).isHub() ? 1 : 0, Integer::sum);
@@ -67,23 +67,25 @@
   }
 
   @Test
-  void theLossOfAHubMovesOnlyItsOwnMembers() {
-    List<ProcessLocation> all = places(79, 4);
-    ProcessLocation lost = all.stream().filter(place -> planOf(place, all).isHub()).findFirst().orElseThrow();
-    List<ProcessLocation> left = all.stream().filter(place -> !place.equals(lost)).toList();
+  void lossOfAHubMovesFewMembersOfOtherHubs() {
+    List<ProcessLocation> all = locations(79, 4);
+    ProcessLocation lost =
+        all.stream().filter(location -> planOf(location, all).isHub()).findFirst().orElseThrow();
+    List<ProcessLocation> remaining =
+        all.stream().filter(location -> !location.equals(lost)).toList();
     int moved = 0;
-    for (ProcessLocation self : left) {
+    for (ProcessLocation self : remaining) {
       HubPlan before = planOf(self, all);
-      HubPlan after = planOf(self, left);
+      HubPlan after = planOf(self, remaining);
       boolean isNewHub = after.isHub() && !before.isHub();
-      boolean wasTheLost = lost.name().equals(before.ownHub());
+      boolean wasMemberOfLost = lost.name().equals(before.ownHub());
       if (!isNewHub
-          && !wasTheLost
+          && !wasMemberOfLost
           && !String.valueOf(before.ownHub()).equals(after.ownHub() + "")) {
         moved++;
       }
     }
-    // Only the members of the hub that takes the lost one's place may move besides.
+    // Other members move only if they join the new hub that replaces the lost one.
     assertThat(moved, is(lessThan(10)));
   }
 }
