--- a/core/src/main/java/org/shoreroad/member/MembershipMessage.java
+++ b/core/src/main/java/org/shoreroad/member/MembershipMessage.java
@@ -3,28 +3,29 @@
 import java.util.List;
 
 /**
- * A message between the membership of two processes.
+ * A message of the membership protocol (SWIM) between two processes.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param type what it asks or answers
- * @param sequence the number that an answer repeats
- * @param subject the process asked after, for the types that ask for another
- * @param appliedOffset how far the sender has applied the control stream
- * @param rumors news, at most {@link SwimMembership#MAX_RUMORS}
+ * @param type the type of request or answer
+ * @param sequence the sequence number of the request; an answer repeats it
+ * @param subject the id of the process to ping, or that was pinged, on behalf of another process;
+ *     otherwise empty
+ * @param appliedOffset the offset up to which the sender has applied the control stream
+ * @param rumors status changes to spread, at most {@link SwimMembership#MAX_RUMORS}
  * @since 0.1
  */
 public record MembershipMessage(
     Type type, long sequence, String subject, long appliedOffset, List<Rumor> rumors) {
-  /** The types of message. */
+  /** Message types. */
   public enum Type {
-    /** Are you there? */
+    /** Requests an {@link #ACK}. */
     PING,
-    /** I am. */
+    /** Answers a {@link #PING}. */
     ACK,
-    /** Ask the subject whether it is there. */
+    /** Requests that the receiver pings the subject. */
     PING_REQUEST,
-    /** The subject answered me. */
+    /** Reports that the subject answered a ping which the receiver had requested. */
     INDIRECT_ACK
   }
 
--- a/core/src/main/java/org/shoreroad/member/PeerStatus.java
+++ b/core/src/main/java/org/shoreroad/member/PeerStatus.java
@@ -1,19 +1,19 @@
 package org.shoreroad.member;
 
 /**
- * What is believed of a process.
+ * Status of a process in the view of another one, in order of severity.
  *
  * <p>This enum is immutable and thread-safe.
  *
  * @since 0.1
  */
 public enum PeerStatus {
-  /** It answers. */
+  /** Answers pings. */
   ALIVE,
-  /** It answers, and said that it is stopping: it takes on nothing new. */
+  /** Answers pings, but has announced that it is stopping and accepts no new work. */
   LEAVING,
-  /** It did not answer, neither directly nor by way of others; it may still object. */
+  /** Answered neither a direct nor an indirect ping; can still refute the suspicion. */
   SUSPECT,
-  /** It did not object in time. */
+  /** Did not refute the suspicion in time. */
   DEAD
 }
--- a/core/src/main/java/org/shoreroad/member/RumorBuffer.java
+++ b/core/src/main/java/org/shoreroad/member/RumorBuffer.java
@@ -8,43 +8,43 @@
 import java.util.Map;
 
 /**
- * The rumors that still have to be passed on, each a bounded number of times.
+ * Rumors to send, each a bounded number of times.
  *
  * <p>Not thread-safe.
  */
 final class RumorBuffer {
-  private final Map<String, Posted> postedByNode = new HashMap<>();
+  private final Map<String, Pending> pendingByNode = new HashMap<>();
 
-  private record Posted(Rumor rumor, int sendsLeft) {}
+  private record Pending(Rumor rumor, int sendsLeft) {}
 
-  /** Posts a rumor in place of an earlier one of the same process. */
+  /** Adds a rumor and removes an earlier one about the same process. */
   void put(Rumor rumor, int sends) {
-    postedByNode.put(rumor.nodeId(), new Posted(rumor, sends));
+    pendingByNode.put(rumor.nodeId(), new Pending(rumor, sends));
   }
 
-  /** Drops the rumors of processes that no longer exist. */
+  /** Removes the rumors about all processes but the given ones. */
   void retain(Collection<String> nodeIds) {
-    postedByNode.keySet().retainAll(nodeIds);
+    pendingByNode.keySet().retainAll(nodeIds);
   }
 
-  /** Returns the rumors that were passed on least, and counts them as passed on once more. */
+  /** Returns the rumors with the most sends left and reduces their sends left by one. */
   List<Rumor> take(int max) {
-    List<Posted> chosen =
-        postedByNode.values().stream()
+    List<Pending> chosen =
+        pendingByNode.values().stream()
             .sorted(
-                Comparator.comparingInt(Posted::sendsLeft)
+                Comparator.comparingInt(Pending::sendsLeft)
                     .reversed()
-                    .thenComparing(p -> p.rumor().nodeId()))
+                    .thenComparing(pending -> pending.rumor().nodeId()))
             .limit(max)
             .toList();
     List<Rumor> rumors = new ArrayList<>();
-    for (Posted posted : chosen) {
-      rumors.add(posted.rumor());
-      if (posted.sendsLeft() > 1) {
-        postedByNode.put(
-            posted.rumor().nodeId(), new Posted(posted.rumor(), posted.sendsLeft() - 1));
+    for (Pending pending : chosen) {
+      rumors.add(pending.rumor());
+      if (pending.sendsLeft() > 1) {
+        pendingByNode.put(
+            pending.rumor().nodeId(), new Pending(pending.rumor(), pending.sendsLeft() - 1));
       } else {
-        postedByNode.remove(posted.rumor().nodeId());
+        pendingByNode.remove(pending.rumor().nodeId());
       }
     }
     return rumors;
--- a/core/src/main/java/org/shoreroad/member/SwimMembership.java
+++ b/core/src/main/java/org/shoreroad/member/SwimMembership.java
@@ -12,31 +12,34 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One process's belief of who lives (the SWIM protocol: Das, Gupta, Motivala, 2002).
+ * Failure detector and membership of one process, by the SWIM protocol (Das, Gupta, Motivala,
+ * 2002).
  *
- * <p>In each period one peer, in shuffled order, is asked for a sign of life; if it stays silent,
- * {@value #HELPERS} others are asked to ask it; if it stays silent still, it is a suspect, and the
- * rumor spreads; a suspect that does not object in time is dead. A dead process that is heard of
- * with a higher incarnation lives again.
+ * <p>In each period one peer is pinged, in shuffled order. If it does not answer, {@value
+ * #INDIRECT_PROBES} other peers are requested to ping it. If it answers none of them, it becomes a
+ * suspect, and a rumor of that spreads. A suspect that does not refute the suspicion in time is
+ * dead. A rumor with a higher incarnation makes a dead process alive again.
  *
- * <p>Not thread-safe: one thread owns it. It sends nothing itself: each call returns what to send.
+ * <p>Not thread-safe: for use by one thread. Performs no input or output: each call returns the
+ * messages to send.
  *
  * @since 0.1
  */
 public final class SwimMembership {
-  /** How many others are asked to ask a silent peer. */
-  public static final int HELPERS = 3;
+  /** Number of peers that are requested to ping a peer that did not answer. */
+  public static final int INDIRECT_PROBES = 3;
 
-  /** How many rumors a message carries at most. */
+  /** Maximum number of rumors in a message. */
   public static final int MAX_RUMORS = 8;
 
-  private static final int SPREAD_FACTOR = 3;
+  /** Sends of a rumor per binary digit of the number of processes. */
+  private static final int RUMOR_SENDS_FACTOR = 3;
 
   private final String selfId;
   private final MembershipTiming timing;
   private final Random random;
   private final Map<String, Peer> peers = new TreeMap<>();
-  private final RumorBuffer board = new RumorBuffer();
+  private final RumorBuffer rumorBuffer = new RumorBuffer();
   private final Map<Long, Probe> probes = new HashMap<>();
   private final List<String> round = new ArrayList<>();
   private long incarnation;
@@ -49,18 +52,18 @@
   private long highestPeerOffset = -1;
 
   /**
-   * A message and whom it goes to.
+   * A message and its receiver.
    *
-   * @param nodeId whom it goes to
+   * @param nodeId the id of the receiver
    * @param message the message
    */
   public record Outgoing(String nodeId, MembershipMessage message) {}
 
-  /** What is known of a peer. */
+  /** State of a peer. */
   private static final class Peer {
     private Rumor rumor;
     private long suspectSinceNanos;
-    private boolean isSuspectedByMe;
+    private boolean isOwnSuspicion;
     private long appliedOffset = -1;
 
     Peer(Rumor rumor) {
@@ -68,20 +71,24 @@
     }
   }
 
-  /** An open question: to a peer of one's own, or on behalf of another. */
+  /** A ping without an answer yet, sent for this process or on behalf of another one. */
   private record Probe(
-      String target, long sentNanos, boolean isAskedAround, String onBehalfOf, long theirSequence) {
-    Probe withAskedAround() {
-      return new Probe(target, sentNanos, true, onBehalfOf, theirSequence);
+      String target,
+      long sentNanos,
+      boolean isIndirectRequested,
+      String requester,
+      long requesterSequence) {
+    Probe withIndirectRequested() {
+      return new Probe(target, sentNanos, true, requester, requesterSequence);
     }
   }
 
   /**
-   * Creates the belief of a process that knows only itself.
+   * Creates the membership of a process without peers.
    *
-   * @param selfId its own id, not null
-   * @param timing the times, not null
-   * @param seed the seed of the shuffling
+   * @param selfId the id of the process, not null
+   * @param timing the timing parameters, not null
+   * @param seed the seed of the random order of pings
    * @param nowNanos the monotonic time
    */
   public SwimMembership(String selfId, MembershipTiming timing, long seed, long nowNanos) {
@@ -92,26 +99,26 @@
   }
 
   /**
-   * Sets who exists, as the log tells.
+   * Sets the processes that exist according to the control log.
    *
-   * @param nodeIds the ids of all processes, with or without the own one
+   * @param nodeIds the ids of all processes, with or without this one
    */
   public void setNodes(Collection<String> nodeIds) {
     peers.keySet().retainAll(nodeIds);
     for (String id : nodeIds) {
       if (!id.equals(selfId)) {
-        peers.computeIfAbsent(id, i -> new Peer(new Rumor(i, PeerStatus.ALIVE, 0)));
+        peers.computeIfAbsent(id, added -> new Peer(new Rumor(added, PeerStatus.ALIVE, 0)));
       }
     }
-    board.retain(nodeIds);
+    rumorBuffer.retain(nodeIds);
   }
 
-  /** Sets how far the control stream was applied here, which peers are told. */
+  /** Sets the offset up to which this process has applied the control stream; sent to peers. */
   public void setAppliedOffset(long offset) {
     appliedOffset = offset;
   }
 
-  /** Returns the ids of the processes believed alive or suspect, with the own one, in order. */
+  /** Returns the sorted ids of all processes that are not dead, including this one. */
   public Collection<String> aliveIds() {
     TreeSet<String> ids = new TreeSet<>();
     ids.add(selfId);
@@ -124,21 +131,21 @@
     return ids;
   }
 
-  /** Returns the ids of the processes that take on new work, in order. */
+  /** Returns the sorted ids of the processes that accept new work. */
   public Collection<String> workingIds() {
     Collection<String> ids = aliveIds();
     ids.removeIf(id -> statusOf(id) == PeerStatus.LEAVING);
     return ids;
   }
 
-  /** Tells the peers that this process is stopping and takes on nothing new. */
+  /** Announces to the peers that this process is stopping and accepts no new work. */
   public void leave() {
     isLeaving = true;
     incarnation++;
-    board.put(new Rumor(selfId, PeerStatus.LEAVING, incarnation), spreads());
+    rumorBuffer.put(new Rumor(selfId, PeerStatus.LEAVING, incarnation), rumorSends());
   }
 
-  /** Returns what is believed of a process; one that does not exist is dead. */
+  /** Returns the status of a process; dead if it does not exist. */
   public PeerStatus statusOf(String nodeId) {
     if (nodeId.equals(selfId)) {
       return isLeaving ? PeerStatus.LEAVING : PeerStatus.ALIVE;
@@ -147,33 +154,33 @@
     return peer == null ? PeerStatus.DEAD : peer.rumor.status();
   }
 
-  /** Returns the greatest offset that any peer said it has applied, or -1. */
+  /** Returns the highest applied offset reported by any peer, or -1 if there is none. */
   public long highestPeerOffset() {
     return highestPeerOffset;
   }
 
-  /** Returns true if more than half of all processes are believed alive, the own one counted. */
+  /** Returns true if more than half of all processes, including this one, are not dead. */
   public boolean isMajorityAlive() {
     return 2 * aliveIds().size() > peers.size() + 1;
   }
 
-  /** Returns true if any peer has answered yet. */
+  /** Returns true if any peer has ever answered. */
   public boolean hasContact() {
     return hasContact;
   }
 
-  /** Returns when the last question that a peer answered was sent, on the monotonic clock. */
+  /** Returns the monotonic time at which the latest ping with an answer was sent. */
   public long contactNanos() {
     return lastContactNanos;
   }
 
-  /** Returns how far a peer said it has applied the control stream, or -1. */
+  /** Returns the applied offset of the control stream reported by a peer, or -1. */
   public long appliedOffsetOf(String nodeId) {
     Peer peer = peers.get(nodeId);
     return peer == null ? -1 : peer.appliedOffset;
   }
 
-  /** Asks all peers at once, outside the rounds; returns what to send. */
+  /** Pings all peers at once, independently of the periods; returns the messages to send. */
   public List<Outgoing> pingAll(long nowNanos) {
     List<Outgoing> out = new ArrayList<>();
     for (String id : peers.keySet()) {
@@ -183,117 +190,121 @@
   }
 
   /**
-   * Does what is due.
+   * Performs the periodic work.
    *
    * @param nowNanos the monotonic time
-   * @return what to send
+   * @return the messages to send
    */
   public List<Outgoing> tick(long nowNanos) {
     List<Outgoing> out = new ArrayList<>();
-    askAround(nowNanos, out);
+    requestIndirectProbes(nowNanos, out);
     if (nowNanos - nextPeriodNanos >= 0) {
       nextPeriodNanos = nowNanos + timing.periodNanos();
-      endProbes(nowNanos);
+      expireProbes(nowNanos);
       String target = nextTarget();
       if (target != null) {
         ping(target, "", 0, nowNanos, out);
       }
-      askSuspectsAgain(nowNanos, out);
+      pingOwnSuspects(nowNanos, out);
     }
-    buryOverdue(nowNanos);
+    declareOverdueSuspectsDead(nowNanos);
     return out;
   }
 
   /**
-   * Takes in a message.
+   * Processes a received message.
    *
-   * @param from the sender's id
-   * @param heartbeat the message
+   * @param from the id of the sender
+   * @param received the message
    * @param nowNanos the monotonic time
-   * @return what to send
+   * @return the messages to send
    */
-  public List<Outgoing> receive(String from, MembershipMessage heartbeat, long nowNanos) {
+  public List<Outgoing> receive(String from, MembershipMessage received, long nowNanos) {
     List<Outgoing> out = new ArrayList<>();
     Peer sender = peers.get(from);
     if (sender != null) {
-      sender.appliedOffset = Math.max(sender.appliedOffset, heartbeat.appliedOffset());
+      sender.appliedOffset = Math.max(sender.appliedOffset, received.appliedOffset());
     }
-    highestPeerOffset = Math.max(highestPeerOffset, heartbeat.appliedOffset());
-    heartbeat.rumors().forEach(rumor -> hear(rumor, nowNanos));
-    switch (heartbeat.type()) {
-      case PING -> out.add(message(from, MembershipMessage.Type.ACK, heartbeat.sequence(), ""));
-      case PING_REQUEST -> ping(heartbeat.subject(), from, heartbeat.sequence(), nowNanos, out);
-      case ACK, INDIRECT_ACK -> receiveAck(from, heartbeat, out);
-      default -> throw new IllegalStateException("type " + heartbeat.type());
+    highestPeerOffset = Math.max(highestPeerOffset, received.appliedOffset());
+    received.rumors().forEach(rumor -> applyRumor(rumor, nowNanos));
+    switch (received.type()) {
+      case PING -> out.add(message(from, MembershipMessage.Type.ACK, received.sequence(), ""));
+      case PING_REQUEST -> ping(received.subject(), from, received.sequence(), nowNanos, out);
+      case ACK, INDIRECT_ACK -> receiveAck(from, received, out);
+      default -> throw new IllegalStateException("type " + received.type());
     }
     return out;
   }
 
-  private void receiveAck(String from, MembershipMessage heartbeat, List<Outgoing> out) {
-    Probe probe = probes.remove(heartbeat.sequence());
+  private void receiveAck(String from, MembershipMessage received, List<Outgoing> out) {
+    Probe probe = probes.remove(received.sequence());
     if (probe == null) {
       return;
     }
-    if (!probe.onBehalfOf().isEmpty()) {
+    if (!probe.requester().isEmpty()) {
       out.add(
           message(
-              probe.onBehalfOf(),
+              probe.requester(),
               MembershipMessage.Type.INDIRECT_ACK,
-              probe.theirSequence(),
+              probe.requesterSequence(),
               probe.target()));
       return;
     }
-    // Contact counts from the sending, so that a long pause before this line can't feign it.
+    // The time of sending counts, so that a pause of this process before this line does not make an
+    // old answer look recent.
     hasContact = true;
     lastContactNanos = Math.max(lastContactNanos, probe.sentNanos());
     Peer peer = peers.get(probe.target());
-    if (peer != null && heartbeat.type() == MembershipMessage.Type.ACK && from.equals(probe.target())) {
+    if (peer != null
+        && received.type() == MembershipMessage.Type.ACK
+        && from.equals(probe.target())) {
       clearSuspicion(peer);
     }
   }
 
-  /** A direct answer clears the own suspicion; what others believe, the suspect itself clears. */
+  /** Clears the suspicion of this process; the suspect itself refutes those of other processes. */
   private void clearSuspicion(Peer peer) {
     if (peer.rumor.status() == PeerStatus.SUSPECT) {
       peer.suspectSinceNanos = 0;
       peer.rumor = new Rumor(peer.rumor.nodeId(), PeerStatus.ALIVE, peer.rumor.incarnation());
     } else if (peer.rumor.status() == PeerStatus.DEAD) {
-      board.put(peer.rumor, spreads());
+      rumorBuffer.put(peer.rumor, rumorSends());
     }
   }
 
-  private void askAround(long nowNanos, List<Outgoing> out) {
+  private void requestIndirectProbes(long nowNanos, List<Outgoing> out) {
     for (Map.Entry<Long, Probe> entry : probes.entrySet()) {
       Probe probe = entry.getValue();
       boolean isLate = nowNanos - probe.sentNanos() >= timing.ackTimeoutNanos();
-      if (probe.onBehalfOf().isEmpty() && !probe.isAskedAround() && isLate) {
-        entry.setValue(probe.withAskedAround());
-        for (String helper : pickHelpers(probe.target())) {
-          out.add(message(helper, MembershipMessage.Type.PING_REQUEST, entry.getKey(), probe.target()));
+      if (probe.requester().isEmpty() && !probe.isIndirectRequested() && isLate) {
+        entry.setValue(probe.withIndirectRequested());
+        for (String helper : chooseHelpers(probe.target())) {
+          out.add(
+              message(helper, MembershipMessage.Type.PING_REQUEST, entry.getKey(), probe.target()));
         }
       }
     }
   }
 
-  /** Whoever raised a suspicion asks the suspect in each period, so that it can object in time. */
-  private void askSuspectsAgain(long nowNanos, List<Outgoing> out) {
+  /** Pings the suspects of this process in each period, so that they can refute in time. */
+  private void pingOwnSuspects(long nowNanos, List<Outgoing> out) {
     for (Map.Entry<String, Peer> entry : peers.entrySet()) {
       Peer peer = entry.getValue();
-      if (peer.isSuspectedByMe && peer.rumor.status() == PeerStatus.SUSPECT) {
+      if (peer.isOwnSuspicion && peer.rumor.status() == PeerStatus.SUSPECT) {
         ping(entry.getKey(), "", 0, nowNanos, out);
       }
     }
   }
 
-  private List<String> pickHelpers(String target) {
+  private List<String> chooseHelpers(String target) {
     List<String> others = new ArrayList<>(aliveIds());
     others.remove(selfId);
     others.remove(target);
     Collections.shuffle(others, random);
-    return others.subList(0, Math.min(HELPERS, others.size()));
+    return others.subList(0, Math.min(INDIRECT_PROBES, others.size()));
   }
 
-  private void endProbes(long nowNanos) {
+  private void expireProbes(long nowNanos) {
     List<Long> ended = new ArrayList<>();
     probes.forEach(
         (sequence, probe) -> {
@@ -303,7 +314,7 @@
         });
     for (long sequence : ended) {
       Probe probe = probes.remove(sequence);
-      if (probe != null && probe.onBehalfOf().isEmpty()) {
+      if (probe != null && probe.requester().isEmpty()) {
         suspect(probe.target(), nowNanos);
       }
     }
@@ -312,26 +323,27 @@
   private void suspect(String nodeId, long nowNanos) {
     Peer peer = peers.get(nodeId);
     if (peer != null && peer.rumor.status().compareTo(PeerStatus.SUSPECT) < 0) {
-      hear(new Rumor(nodeId, PeerStatus.SUSPECT, peer.rumor.incarnation()), nowNanos);
-      peer.isSuspectedByMe = true;
+      applyRumor(new Rumor(nodeId, PeerStatus.SUSPECT, peer.rumor.incarnation()), nowNanos);
+      peer.isOwnSuspicion = true;
     }
   }
 
-  private void buryOverdue(long nowNanos) {
-    // A rumor needs about the logarithm of the fleet in periods to reach all, and back.
+  private void declareOverdueSuspectsDead(long nowNanos) {
+    // A rumor reaches all processes, and a refutation returns, in about log2(processes) periods.
     long periods = Math.max(timing.suspicionPeriods(), log2Ceiling(peers.size() + 1));
     long suspicionNanos = periods * timing.periodNanos();
     for (Peer peer : peers.values()) {
       boolean isOverdue = nowNanos - peer.suspectSinceNanos >= suspicionNanos;
       if (peer.rumor.status() == PeerStatus.SUSPECT && isOverdue) {
-        hear(new Rumor(peer.rumor.nodeId(), PeerStatus.DEAD, peer.rumor.incarnation()), nowNanos);
+        applyRumor(
+            new Rumor(peer.rumor.nodeId(), PeerStatus.DEAD, peer.rumor.incarnation()), nowNanos);
       }
     }
   }
 
-  private void hear(Rumor rumor, long nowNanos) {
+  private void applyRumor(Rumor rumor, long nowNanos) {
     if (rumor.nodeId().equals(selfId)) {
-      object(rumor);
+      refute(rumor);
       return;
     }
     Peer peer = peers.get(rumor.nodeId());
@@ -340,38 +352,40 @@
     }
     if (rumor.status() == PeerStatus.SUSPECT) {
       peer.suspectSinceNanos = nowNanos;
-      peer.isSuspectedByMe = false;
+      peer.isOwnSuspicion = false;
     }
     peer.rumor = rumor;
-    board.put(rumor, spreads());
+    rumorBuffer.put(rumor, rumorSends());
   }
 
-  private void object(Rumor rumor) {
+  private void refute(Rumor rumor) {
     PeerStatus own = statusOf(selfId);
     if (rumor.status().compareTo(own) > 0 && rumor.incarnation() >= incarnation) {
       incarnation = rumor.incarnation() + 1;
-      board.put(new Rumor(selfId, own, incarnation), spreads());
+      rumorBuffer.put(new Rumor(selfId, own, incarnation), rumorSends());
     }
   }
 
   private void ping(
-      String target, String onBehalfOf, long theirs, long nowNanos, List<Outgoing> out) {
+      String target, String requester, long requesterSequence, long nowNanos, List<Outgoing> out) {
     long sequence = nextSequence++;
-    probes.put(sequence, new Probe(target, nowNanos, false, onBehalfOf, theirs));
-    // Whoever is thought suspect or dead is told, so that it can object.
+    probes.put(sequence, new Probe(target, nowNanos, false, requester, requesterSequence));
+    // A peer that is not alive is sent its own status, so that it can refute it.
     Peer peer = peers.get(target);
     if (peer != null && peer.rumor.status() != PeerStatus.ALIVE) {
-      board.put(peer.rumor, 1);
+      rumorBuffer.put(peer.rumor, 1);
     }
     out.add(message(target, MembershipMessage.Type.PING, sequence, ""));
   }
 
   private Outgoing message(String to, MembershipMessage.Type type, long sequence, String subject) {
     return new Outgoing(
-        to, new MembershipMessage(type, sequence, subject, appliedOffset, board.take(MAX_RUMORS)));
+        to,
+        new MembershipMessage(
+            type, sequence, subject, appliedOffset, rumorBuffer.take(MAX_RUMORS)));
   }
 
-  /** Returns the next peer of the round; the dead are asked too, since they may come back. */
+  /** Returns the next peer to ping; includes dead peers, since they may recover. */
   private @Nullable String nextTarget() {
     round.removeIf(id -> !peers.containsKey(id));
     if (round.isEmpty()) {
@@ -381,8 +395,8 @@
     return round.isEmpty() ? null : round.remove(round.size() - 1);
   }
 
-  private int spreads() {
-    return SPREAD_FACTOR * log2Ceiling(peers.size() + 1);
+  private int rumorSends() {
+    return RUMOR_SENDS_FACTOR * log2Ceiling(peers.size() + 1);
   }
 
   private static int log2Ceiling(int number) {
--- a/core/src/main/java/org/shoreroad/member/package-info.java
+++ b/core/src/main/java/org/shoreroad/member/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Which processes of the system are alive: heartbeats to one random peer at a time, suspicion, and
- * rumors carried along.
+ * Membership of the processes: failure detection by pings and gossip (SWIM), the topology of
+ * heartbeats, and the claims of fabric domains.
  *
- * <p>The cost for each process does not depend on how many there are. Who exists is told by the
- * log; this package only tells who lives.
+ * <p>The number of pings per process does not depend on the number of processes. The control log
+ * defines which processes exist; this package determines which of them are alive.
  */
 @NullMarked
 package org.shoreroad.member;
--- a/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
+++ b/core/src/test/java/org/shoreroad/member/MembershipSimulation.java
@@ -8,23 +8,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 
-/** Many memberships over a network in memory, with loss, silence and cuts; seeded. */
+/** Simulation of many processes over a network in memory with message loss and partitions. */
 public final class MembershipSimulation {
   private static final MembershipTiming TIMING = MembershipTiming.of(300);
   private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final List<SwimMembership> nodes = new ArrayList<>();
-  private final Set<Integer> silent = new HashSet<>();
+  private final Set<Integer> disconnected = new HashSet<>();
   private final Random random;
   private List<Message> inFlight = new ArrayList<>();
   private long nowNanos;
   private int lossPercent;
-  private int cutBelow;
+  private int partitionIndex;
   private long messages;
 
   private record Message(int from, int to, MembershipMessage heartbeat) {}
 
-  /** Creates nodes that know each other. */
+  /** Creates nodes that are peers of each other; the seed determines the message loss. */
   public MembershipSimulation(int count, long seed) {
     random = new Random(seed);
     List<String> ids = new ArrayList<>();
@@ -42,7 +42,7 @@
     return nodes.get(index);
   }
 
-  /** Returns how many messages were sent. */
+  /** Returns the number of messages sent. */
   public long messages() {
     return messages;
   }
@@ -51,21 +51,21 @@
     lossPercent = percent;
   }
 
-  /** A node neither sends nor receives any more. */
-  public void silence(int index) {
-    silent.add(index);
+  /** Disconnects a node: it neither sends nor receives messages. */
+  public void disconnect(int index) {
+    disconnected.add(index);
   }
 
-  void endSilence(int index) {
-    silent.remove(index);
+  void reconnect(int index) {
+    disconnected.remove(index);
   }
 
-  /** The nodes below this index and the others no longer hear each other. */
-  void cut(int below) {
-    cutBelow = below;
+  /** Partitions the network: no message passes between nodes below the index and the others. */
+  void partition(int index) {
+    partitionIndex = index;
   }
 
-  /** Runs for so many periods. */
+  /** Runs for the given number of periods. */
   public void run(int periods) {
     long endNanos = nowNanos + periods * TIMING.periodNanos();
     while (nowNanos < endNanos) {
@@ -73,11 +73,11 @@
     }
   }
 
-  /** Runs until all other nodes are counted; returns after how many periods, at most the limit. */
+  /** Runs until all other nodes are counted; returns the number of periods, at most the limit. */
   public int runUntil(IntSupplier counted, int limit) {
-    int wanted = nodes.size() - 1;
+    int others = nodes.size() - 1;
     for (int period = 0; period < limit; period++) {
-      if (counted.getAsInt() == wanted) {
+      if (counted.getAsInt() == others) {
         return period;
       }
       run(1);
@@ -85,12 +85,12 @@
     return limit;
   }
 
-  /** Returns how many other nodes that are not silent believe this of a node. */
+  /** Returns the number of other connected nodes in whose view a node has the status. */
   public int countViewsWithStatus(int index, PeerStatus status) {
     int count = 0;
     for (int i = 0; i < nodes.size(); i++) {
-      boolean isAsked = i != index && !silent.contains(i);
-      count += isAsked && nodes.get(i).statusOf("n" + index) == status ? 1 : 0;
+      boolean isCounted = i != index && !disconnected.contains(i);
+      count += isCounted && nodes.get(i).statusOf("n" + index) == status ? 1 : 0;
     }
     return count;
   }
@@ -112,10 +112,10 @@
   }
 
   private boolean isLost(Message message) {
-    boolean isCut = (message.from() < cutBelow) != (message.to() < cutBelow);
-    return isCut
-        || silent.contains(message.from())
-        || silent.contains(message.to())
+    boolean isPartitioned = (message.from() < partitionIndex) != (message.to() < partitionIndex);
+    return isPartitioned
+        || disconnected.contains(message.from())
+        || disconnected.contains(message.to())
         || random.nextInt(100) < lossPercent;
   }
 
