--- a/edge/src/main/java/org/shoreroad/edge/peer/Digest.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Digest.java
@@ -14,7 +14,8 @@
 import org.shoreroad.fleet.FleetBox;
 
 /**
- * Makes one heartbeat of several: the loads are added up, suspicions and questions are joined.
+ * Combines heartbeats into one: the sum of the loads, and the union of suspicions, questions and
+ * owned domains.
  *
  * <p>All methods are pure and thread-safe.
  */
@@ -22,15 +23,15 @@
   private Digest() {}
 
   /**
-   * Returns what a hub tells in the name of itself and others.
+   * Returns the heartbeat of a hub for itself and other processes.
    *
-   * @param own the hub's own reports, not null
-   * @param scope for whom it then speaks, not null
-   * @param others what the others told, not null
-   * @param witnesses the other hubs that were asked about silent boxes, not null; a box that
-   *     answers any of them is not silent
+   * @param own the heartbeat of the hub for itself, not null
+   * @param scope the scope of the combined heartbeat, not null
+   * @param others the latest heartbeats of the others, not null
+   * @param witnesses the latest heartbeats of the other hubs, which also try silent boxes, not
+   *     null; a box that answers any of them is not silent
    * @param reports the newest status reports of engines, not null
-   * @param listUpdate what the receiver lacks of the list, not null
+   * @param listUpdate the changes of the upstream list for the receiver, not null
    * @param nowNanos the steady clock
    * @return the heartbeat, without an echo
    */
@@ -46,14 +47,14 @@
     own.loads().forEach(load -> add(loads, load, 0));
     Set<String> suspected = new HashSet<>(own.suspectedUpstreams());
     Map<String, String> asked = new HashMap<>(own.askedUpstreams());
-    Set<String> kept = new HashSet<>(own.ownedDomains());
+    Set<String> owned = new HashSet<>(own.ownedDomains());
     int processes = own.processes();
     for (ReceivedHeartbeat other : others) {
-      long heldMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - other.receivedNanos());
-      other.heartbeat().loads().forEach(load -> add(loads, load, heldMs));
+      long elapsedMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - other.receivedNanos());
+      other.heartbeat().loads().forEach(load -> add(loads, load, elapsedMs));
       suspected.addAll(other.heartbeat().suspectedUpstreams());
       asked.putAll(other.heartbeat().askedUpstreams());
-      kept.addAll(other.heartbeat().ownedDomains());
+      owned.addAll(other.heartbeat().ownedDomains());
       processes += other.heartbeat().processes();
     }
     Set<String> silent = new HashSet<>(own.silentUpstreams());
@@ -69,10 +70,10 @@
         own.configAgeNanos(),
         new ArrayList<>(loads.values()),
         suspected,
-        // Members are not asked: the hubs of all zones are witnesses enough.
+        // Members are not asked, since the hubs of all zones suffice as witnesses.
         scope == Scope.REST ? Map.of() : asked,
         silent,
-        kept,
+        owned,
         reports,
         listUpdate,
         own.crashReports(),
@@ -80,14 +81,14 @@
   }
 
   /**
-   * Returns the heartbeat of a hub to one of its members: the total without the member's own part.
+   * Returns the heartbeat of a hub to one of its members: the total without the member's own state.
    *
    * <p>Subtracting one member visits the loads of one process. A separate sum per member would
    * visit the loads of all processes for each of them.
    *
    * @param total the digest of all processes including the member, not null
    * @param member the member's latest heartbeat, which is part of the total, not null
-   * @param listUpdate the changes of the list for the member, not null
+   * @param listUpdate the changes of the upstream list for the member, not null
    */
   static Heartbeat without(Heartbeat total, Heartbeat member, ListUpdate listUpdate) {
     Map<String, Load> ownLoads = new HashMap<>();
@@ -100,8 +101,8 @@
         loads.add(rest);
       }
     }
-    Set<String> kept = new HashSet<>(total.ownedDomains());
-    kept.removeAll(member.ownedDomains());
+    Set<String> owned = new HashSet<>(total.ownedDomains());
+    owned.removeAll(member.ownedDomains());
     return new Heartbeat(
         total.sender(),
         total.sentNanos(),
@@ -115,7 +116,7 @@
         total.suspectedUpstreams(),
         total.askedUpstreams(),
         total.silentUpstreams(),
-        kept,
+        owned,
         total.reports(),
         listUpdate,
         total.crashReports(),
@@ -130,8 +131,8 @@
         load.progressAgeMs());
   }
 
-  private static void add(Map<String, Load> loads, Load load, long heldMs) {
-    int ageMs = (int) Math.min(Integer.MAX_VALUE, load.progressAgeMs() + heldMs);
+  private static void add(Map<String, Load> loads, Load load, long elapsedMs) {
+    int ageMs = (int) Math.min(Integer.MAX_VALUE, load.progressAgeMs() + elapsedMs);
     loads.merge(
         load.upstream(),
         new Load(load.upstream(), load.open(), load.waitingPromptTokens(), ageMs),
@@ -144,10 +145,10 @@
   }
 
   /**
-   * A heartbeat and when it came.
+   * A heartbeat and its time of arrival.
    *
    * @param heartbeat the heartbeat
-   * @param receivedNanos when it came, on the receiver's steady clock
+   * @param receivedNanos the time of arrival on the steady clock of the receiver
    */
   record ReceivedHeartbeat(Heartbeat heartbeat, long receivedNanos) {}
 }
--- a/edge/src/main/java/org/shoreroad/edge/peer/FailureDetector.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/FailureDetector.java
@@ -8,19 +8,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Failure detector for boxes: collects which processes get no answer from a box.
+ * Failure detector for boxes: collects the processes that get no answer from a box.
  *
  * <p>One process cannot distinguish a dead box from a partition between the two, so it asks the
  * other processes in its heartbeats to try the box too. A box that answers none of them is dead.
- * Used on the event loop.
+ * Not thread-safe: for use on the event loop.
  *
  * @since 0.2
  */
 public final class FailureDetector {
-  /** A question is kept up this long after it was last raised. */
-  private static final long KEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  /** Lifetime of a question after it was last asked. */
+  private static final long QUESTION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  /** Peers get this long to ask the box twice and tell: two heartbeats and two questions. */
+  /** Time for peers to try the box twice and report: two heartbeats and two tries. */
   private static final long ANSWER_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
   private final LongSupplier clockNanos;
@@ -33,34 +33,34 @@
     this.clockNanos = clockNanos;
   }
 
-  /** Asks the other processes about a box; to be repeated while the box is silent. */
+  /** Asks the other processes to try a box; call it repeatedly while the box is silent. */
   public void askPeers(String id, String address) {
     long nowNanos = clockNanos.getAsLong();
     Question question = own.get(id);
-    if (question == null || nowNanos - question.raisedNanos > KEEP_NANOS) {
+    if (question == null || nowNanos - question.lastAskedNanos > QUESTION_NANOS) {
       question = new Question(address, nowNanos);
       own.put(id, question);
     }
-    question.raisedNanos = nowNanos;
+    question.lastAskedNanos = nowNanos;
   }
 
-  /** Returns what to ask the others. */
+  /** Returns the silent boxes to ask the other processes about, addresses by id. */
   public Map<String, String> questions() {
     long nowNanos = clockNanos.getAsLong();
-    own.values().removeIf(question -> nowNanos - question.raisedNanos > KEEP_NANOS);
+    own.values().removeIf(question -> nowNanos - question.lastAskedNanos > QUESTION_NANOS);
     Map<String, String> questions = new HashMap<>();
     own.forEach((id, question) -> questions.put(id, question.address));
     return questions;
   }
 
-  /** Forgets a box: it is gone, or has started again. */
+  /** Removes a box that is gone or has restarted. */
   public void forget(String id) {
     own.remove(id);
     askedByPeers.remove(id);
     askedByPeersNanos.remove(id);
   }
 
-  /** Takes what a peer asks and what it found. */
+  /** Applies the questions and the silent boxes in a heartbeat of a peer. */
   public void applyHeartbeat(Heartbeat heartbeat) {
     long nowNanos = clockNanos.getAsLong();
     heartbeat
@@ -80,19 +80,19 @@
         });
   }
 
-  /** Returns the boxes that peers ask about, with their addresses. */
+  /** Returns the boxes that peers ask about, addresses by id. */
   public Map<String, String> askedByPeers() {
     long nowNanos = clockNanos.getAsLong();
-    askedByPeersNanos.values().removeIf(askedNanos -> nowNanos - askedNanos > KEEP_NANOS);
+    askedByPeersNanos.values().removeIf(askedNanos -> nowNanos - askedNanos > QUESTION_NANOS);
     askedByPeers.keySet().retainAll(askedByPeersNanos.keySet());
     return Map.copyOf(askedByPeers);
   }
 
   /**
-   * Returns true if the box answers none of the processes that could be asked.
+   * Returns true if the box answers neither this process nor any of the alive peers.
    *
-   * @param id the box
-   * @param alivePeers the other processes alive
+   * @param id the id of the box
+   * @param alivePeers the names of the other alive processes, not null
    */
   public boolean isSilentForAll(String id, Set<String> alivePeers) {
     Question question = own.get(id);
@@ -105,7 +105,7 @@
     private final String address;
     private final long sinceNanos;
     private final Set<String> silentFor = new HashSet<>();
-    private long raisedNanos;
+    private long lastAskedNanos;
 
     Question(String address, long sinceNanos) {
       this.address = address;
--- a/edge/src/main/java/org/shoreroad/edge/peer/ListProgress.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/ListProgress.java
@@ -6,8 +6,8 @@
 import org.shoreroad.edge.sync.StorePosition;
 
 /**
- * Send progress of the upstream list towards one peer. Each record is sent once instead of with
- * each heartbeat until the peer acknowledges it. Used on the event loop.
+ * Send progress of the upstream list to one peer. Each record is sent once instead of with each
+ * heartbeat until the peer acknowledges it. Not thread-safe: for use on the event loop.
  */
 final class ListProgress {
   /**
@@ -16,32 +16,32 @@
    */
   private static final long RESEND_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-  private final Deque<Told> told = new ArrayDeque<>();
+  private final Deque<Sent> sent = new ArrayDeque<>();
 
   /**
    * Returns the position of the first record to send.
    *
-   * @param held the position that the peer has acknowledged, not null
+   * @param acknowledged the position that the peer has acknowledged, not null
    * @param nowNanos the steady clock
    */
-  StorePosition next(StorePosition held, long nowNanos) {
-    // What was sent of another era does not reach a peer that has listed this one.
-    told.removeIf(sent -> !sent.end().isSameEra(held));
-    while (!told.isEmpty() && held.hasReached(told.peekFirst().end())) {
-      told.removeFirst();
+  StorePosition next(StorePosition acknowledged, long nowNanos) {
+    // A peer that has listed this era never acknowledges positions sent in another era.
+    sent.removeIf(entry -> !entry.end().isSameEra(acknowledged));
+    while (!sent.isEmpty() && acknowledged.hasReached(sent.peekFirst().end())) {
+      sent.removeFirst();
     }
-    if (!told.isEmpty() && nowNanos - told.peekFirst().sentNanos() > RESEND_NANOS) {
-      told.clear();
+    if (!sent.isEmpty() && nowNanos - sent.peekFirst().sentNanos() > RESEND_NANOS) {
+      sent.clear();
     }
-    return told.isEmpty() ? held : told.peekLast().end();
+    return sent.isEmpty() ? acknowledged : sent.peekLast().end();
   }
 
   /** Records that all records before the position have been sent. */
   void recordSent(StorePosition end, long nowNanos) {
-    if (told.isEmpty() || !told.peekLast().end().hasReached(end)) {
-      told.addLast(new Told(end, nowNanos));
+    if (sent.isEmpty() || !sent.peekLast().end().hasReached(end)) {
+      sent.addLast(new Sent(end, nowNanos));
     }
   }
 
-  private record Told(StorePosition end, long sentNanos) {}
+  private record Sent(StorePosition end, long sentNanos) {}
 }
--- a/edge/src/test/java/org/shoreroad/edge/peer/FailureDetectorTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/FailureDetectorTest.java
@@ -18,7 +18,7 @@
     return Heartbeats.of(peer).withQuestions(asked, silent);
   }
 
-  private void raiseFor(int millis) {
+  private void askPeersFor(int millis) {
     for (int i = 0; i <= millis; i += 100) {
       failureDetector.askPeers(BOX, "h:1");
       nowNanos += 100 * MILLI_NANOS;
@@ -26,16 +26,16 @@
   }
 
   @Test
-  void aBoxThatAnswersOnePeerIsNotDead() {
-    raiseFor(2_000);
+  void boxThatAnswersOnePeerIsNotDead() {
+    askPeersFor(2_000);
     failureDetector.applyHeartbeat(from("p1", Map.of(), Set.of(BOX)));
     failureDetector.applyHeartbeat(from("p2", Map.of(), Set.of()));
     assertThat(failureDetector.isSilentForAll(BOX, Set.of("p1", "p2")), is(false));
   }
 
   @Test
-  void aBoxThatAnswersNobodyIsDead() {
-    raiseFor(2_000);
+  void boxThatAnswersNoPeerIsDead() {
+    askPeersFor(2_000);
     failureDetector.applyHeartbeat(from("p1", Map.of(), Set.of(BOX)));
     failureDetector.applyHeartbeat(from("p2", Map.of(), Set.of(BOX)));
     assertThat(failureDetector.isSilentForAll(BOX, Set.of("p1", "p2")), is(true));
@@ -44,22 +44,22 @@
   }
 
   @Test
-  void nothingIsCertainBeforePeersHadTime() {
-    raiseFor(500);
+  void boxIsNotDeadBeforePeersHadTimeToTryIt() {
+    askPeersFor(500);
     failureDetector.applyHeartbeat(from("p1", Map.of(), Set.of(BOX)));
     assertThat(failureDetector.isSilentForAll(BOX, Set.of("p1")), is(false));
   }
 
   @Test
-  void aQuestionEndsWhenItIsNotRaisedAgain() {
-    raiseFor(100);
+  void questionExpiresIfItIsNotRepeated() {
+    askPeersFor(100);
     assertThat(failureDetector.questions(), is(Map.of(BOX, "h:1")));
     nowNanos += 2_000 * MILLI_NANOS;
     assertThat(failureDetector.questions(), is(Map.of()));
   }
 
   @Test
-  void questionsOfPeersAreKeptForAWhile() {
+  void questionsOfPeersExpire() {
     failureDetector.applyHeartbeat(from("p1", Map.of("i-9", "h:9"), Set.of()));
     assertThat(failureDetector.askedByPeers(), is(Map.of("i-9", "h:9")));
     nowNanos += 2_000 * MILLI_NANOS;
--- a/edge/src/test/java/org/shoreroad/edge/peer/ListProgressTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/ListProgressTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.shoreroad.edge.sync.StorePosition;
 
-/** How far a peer was told the list. */
+/** Tests that list records are sent once, and again if they are not acknowledged. */
 class ListProgressTest {
   private static final long HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void whatWasToldAMomentAgoIsNotToldAgain() {
+  void recordsInFlightAreNotSentAgain() {
     assertThat(progress.next(at(4), 0), is(at(4)));
     progress.recordSent(at(9), 0);
     assertThat(progress.next(at(4), HEARTBEAT_NANOS), is(at(9)));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void whatThePeerDoesNotSayToHaveIsToldAgain() {
+  void unacknowledgedRecordsAreSentAgainAfterTheTimeout() {
     progress.recordSent(at(9), 0);
     progress.recordSent(at(12), HEARTBEAT_NANOS);
     assertThat(progress.next(at(4), 3 * HEARTBEAT_NANOS), is(at(12)));
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aPeerThatOthersToldMoreGoesOnFromThere() {
+  void recordsAcknowledgedFromOtherSendersAreSkipped() {
     progress.recordSent(at(9), 0);
     assertThat(progress.next(at(20), HEARTBEAT_NANOS), is(at(20)));
   }
