--- a/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Peer.java
@@ -9,46 +9,49 @@
 import org.shoreroad.edge.sync.StorePosition;
 import org.shoreroad.member.HubPlan.ProcessLocation;
 
-/** One other process: what was last heard of it, and the way to it. Used on the event loop. */
+/**
+ * Another process: its latest heartbeat and the connection to it. Not thread-safe: for use on the
+ * event loop.
+ */
 final class Peer {
-  /** A peer that was not heard for this long is not counted as alive: six heartbeats. */
+  /** Time without a heartbeat after which a peer is not counted as alive: six intervals. */
   static final long ALIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(6 * PeerMesh.INTERVAL_MS);
 
-  /** How long a hub that did not answer is passed over. */
-  private static final long OUT_NANOS = TimeUnit.SECONDS.toNanos(10);
+  /** Time for which a peer that did not answer is not chosen as a hub. */
+  private static final long EXCLUSION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  private final ProcessLocation place;
+  private final ProcessLocation location;
   private StorePosition position;
-  private final PeerConnection link;
+  private final PeerConnection connection;
   private final EventLog log;
   private final ListProgress listProgress = new ListProgress();
-  private long outSinceNanos = Long.MIN_VALUE / 2;
-  private long usedNanos;
+  private long excludedSinceNanos = Long.MIN_VALUE / 2;
+  private long lastSentNanos;
   private long awaitedSinceNanos;
   private long lastReceivedNanos;
-  private @Nullable Heartbeat last;
+  private @Nullable Heartbeat lastHeartbeat;
 
   /**
-   * Creates a peer that was not heard yet.
+   * Creates a peer without a heartbeat.
    *
-   * @param position the place of its announcement among all, not null
+   * @param position the position of its announcement in the store, not null
    */
-  Peer(ProcessLocation place, StorePosition position, PeerConnection link, EventLog log) {
-    this.place = place;
+  Peer(ProcessLocation location, StorePosition position, PeerConnection connection, EventLog log) {
+    this.location = location;
     this.position = position;
-    this.link = link;
+    this.connection = connection;
     this.log = log;
   }
 
   String name() {
-    return place.name();
+    return location.name();
   }
 
-  ProcessLocation place() {
-    return place;
+  ProcessLocation location() {
+    return location;
   }
 
-  /** Takes note that the process announced itself again. */
+  /** Records that the process has announced itself again. */
   void noteAnnounced(StorePosition newPosition) {
     position = newPosition;
   }
@@ -58,74 +61,80 @@
   }
 
   void receive(Heartbeat heartbeat, long nowNanos) {
-    last = heartbeat;
+    lastHeartbeat = heartbeat;
     lastReceivedNanos = nowNanos;
   }
 
   boolean hasHeartbeatWithin(long windowNanos, long nowNanos) {
-    return last != null && nowNanos - lastReceivedNanos < windowNanos;
+    return lastHeartbeat != null && nowNanos - lastReceivedNanos < windowNanos;
   }
 
   long lastReceivedNanos() {
     return lastReceivedNanos;
   }
 
-  /** Returns the last heartbeat of a peer that was heard. */
+  /** Returns the latest heartbeat of a peer that has sent one. */
   Heartbeat lastHeartbeat() {
-    return Objects.requireNonNull(last, "last");
+    return Objects.requireNonNull(lastHeartbeat, "last");
   }
 
   /**
-   * Returns the changes of the list that this peer has neither acknowledged nor just been sent, and
-   * records them as sent.
+   * Returns the changes of the upstream list that this peer has neither acknowledged nor just been
+   * sent, and records them as sent.
    *
    * @param listSince returns the changes from a position on, not null
    * @param nowNanos the steady clock
    */
   ListUpdate listUpdate(Function<StorePosition, ListUpdate> listSince, long nowNanos) {
-    StorePosition held = lastHeartbeat().listUpdate().end();
-    ListUpdate update = listSince.apply(listProgress.next(held, nowNanos));
+    StorePosition acknowledged = lastHeartbeat().listUpdate().end();
+    ListUpdate update = listSince.apply(listProgress.next(acknowledged, nowNanos));
     if (update.isProof()) {
       listProgress.recordSent(update.end(), nowNanos);
     }
     return update;
   }
 
-  /** Returns true if it did not answer lately, so that others are to be hubs. */
+  /** Returns true if the peer has recently not answered and so is not chosen as a hub. */
   boolean isUnresponsive(long nowNanos) {
     boolean hasFailed =
-        nowNanos - outSinceNanos < OUT_NANOS || nowNanos - link.refusedNanos() < OUT_NANOS;
+        nowNanos - excludedSinceNanos < EXCLUSION_NANOS
+            || nowNanos - connection.refusedNanos() < EXCLUSION_NANOS;
     return hasFailed && !hasHeartbeatWithin(ALIVE_NANOS, nowNanos);
   }
 
-  /** Sends to a hub; one that stays silent for long is passed over. */
+  /**
+   * Sends a heartbeat to a hub; a hub without an answer for {@link #ALIVE_NANOS} becomes
+   * unresponsive.
+   */
   void sendExpectingAnswer(Heartbeat heartbeat, long nowNanos) {
-    if (nowNanos - usedNanos > ALIVE_NANOS) {
+    if (nowNanos - lastSentNanos > ALIVE_NANOS) {
       awaitedSinceNanos = nowNanos;
     }
-    boolean isSilent = !hasHeartbeatWithin(ALIVE_NANOS, nowNanos);
-    if (isSilent && nowNanos - awaitedSinceNanos > ALIVE_NANOS && !isUnresponsive(nowNanos)) {
-      outSinceNanos = nowNanos;
-      log.write("hub_silent", "peer", place.name());
+    boolean isWithoutAnswer = !hasHeartbeatWithin(ALIVE_NANOS, nowNanos);
+    if (isWithoutAnswer
+        && nowNanos - awaitedSinceNanos > ALIVE_NANOS
+        && !isUnresponsive(nowNanos)) {
+      excludedSinceNanos = nowNanos;
+      log.write("hub_silent", "peer", location.name());
     }
     send(heartbeat, nowNanos);
   }
 
   void send(Heartbeat heartbeat, long nowNanos) {
-    usedNanos = nowNanos;
-    link.send(heartbeat, last == null ? 0 : last.sentNanos(), nowNanos);
+    lastSentNanos = nowNanos;
+    connection.send(heartbeat, lastHeartbeat == null ? 0 : lastHeartbeat.sentNanos(), nowNanos);
   }
 
-  /** Sends an encoded notice if the connection stands; heartbeats carry the same a moment later. */
+  /** Sends an encoded notice if the connection is open; the next heartbeats carry the same. */
   void sendNotice(byte[] frame) {
-    link.send(frame);
+    connection.send(frame);
   }
 
   void closeIfUnused(long nowNanos) {
-    link.closeIfUnused(nowNanos);
+    connection.closeIfUnused(nowNanos);
   }
 
   void close() {
-    link.close();
+    connection.close();
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerChannels.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerChannels.java
@@ -15,8 +15,8 @@
 import org.shoreroad.edge.EventLog;
 
 /**
- * Sets up the connections between processes: frames with a length in front, each a heartbeat or a
- * notice. Used on the event loop.
+ * Initializes the channels between processes: length-prefixed frames, each with a heartbeat or a
+ * notice. Not thread-safe: for use on the event loop.
  */
 @Sharable
 final class PeerChannels extends ChannelInitializer<SocketChannel> {
@@ -30,8 +30,8 @@
   /**
    * Creates an initializer.
    *
-   * @param heartbeats takes each heartbeat, not null
-   * @param notices takes each notice, not null
+   * @param heartbeats called with each heartbeat, not null
+   * @param notices called with each notice, not null
    */
   PeerChannels(EventLog log, Consumer<Heartbeat> heartbeats, Consumer<SuspicionNotice> notices) {
     this.log = log;
@@ -72,7 +72,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // Told by the loss of the connection.
+      // Not logged here: the process that opened the connection logs its loss.
       context.close();
     }
   }
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerConnection.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerConnection.java
@@ -15,15 +15,15 @@
 import org.shoreroad.edge.http.HttpCalls;
 
 /**
- * The connection to one other process, on which this one only sends; opened when it is needed and
- * again after a loss. Used on the event loop.
+ * Connection to another process, used only to send. Opened on demand and reopened after a loss. Not
+ * thread-safe: for use on the event loop.
  */
 final class PeerConnection {
   private static final int CONNECT_TIMEOUT_MS = 800;
   private static final long RECONNECT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  /** A connection that was not sent on for this long is closed. */
-  private static final long UNUSED_NANOS = TimeUnit.SECONDS.toNanos(5);
+  /** Idle timeout of a connection. */
+  private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final EventLoop loop;
   private final LongSupplier clockNanos;
@@ -35,7 +35,7 @@
   private boolean isConnecting;
   private long lostNanos = Long.MIN_VALUE / 2;
   private long refusedNanos = Long.MIN_VALUE / 2;
-  private long usedNanos;
+  private long lastSentNanos;
 
   PeerConnection(
       EventLoop loop,
@@ -52,9 +52,12 @@
     this.initializer = initializer;
   }
 
-  /** Sends a heartbeat, or opens the connection for the next one; a full connection drops it. */
+  /**
+   * Sends a heartbeat if the connection is open and writable, and otherwise drops it. Opens a
+   * closed connection for the next one.
+   */
   void send(Heartbeat heartbeat, long echoNanos, long nowNanos) {
-    usedNanos = nowNanos;
+    lastSentNanos = nowNanos;
     Channel open = channel;
     if (open != null && open.isActive()) {
       if (open.isWritable()) {
@@ -65,7 +68,7 @@
     }
   }
 
-  /** Sends a frame if the connection stands and takes it. */
+  /** Sends a frame if the connection is open and writable, and otherwise drops it. */
   void send(byte[] frame) {
     Channel open = channel;
     if (open != null && open.isActive() && open.isWritable()) {
@@ -73,13 +76,13 @@
     }
   }
 
-  /** Returns when the connection could last not be opened. */
+  /** Returns the time of the last failed attempt to open the connection. */
   long refusedNanos() {
     return refusedNanos;
   }
 
   void closeIfUnused(long nowNanos) {
-    if (nowNanos - usedNanos > UNUSED_NANOS) {
+    if (nowNanos - lastSentNanos > IDLE_TIMEOUT_NANOS) {
       close();
     }
   }
@@ -106,7 +109,7 @@
                   if (done.isSuccess()) {
                     channel = done.channel();
                     log.write("peer_connected", "peer", name);
-                    done.channel().closeFuture().addListener(closed -> lose());
+                    done.channel().closeFuture().addListener(closed -> handleLoss());
                   } else {
                     lostNanos = clockNanos.getAsLong();
                     refusedNanos = lostNanos;
@@ -114,7 +117,7 @@
                 });
   }
 
-  private void lose() {
+  private void handleLoss() {
     channel = null;
     lostNanos = clockNanos.getAsLong();
     log.write("peer_lost", "peer", name);
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -35,32 +35,32 @@
 /**
  * Exchanges heartbeats with the other processes: liveness, load, configuration version, reports.
  *
- * <p>Each process opens a connection to each one that it tells anything, and only sends on it. In a
- * small system each tells all others; in a large one members tell their hub, as {@link HubPlan}
- * says. Used on the event loop.
+ * <p>Each process opens a connection to each receiver of its heartbeats and only sends on it.
+ * {@link HubPlan} determines the receivers: all other processes in a small system, the hub or the
+ * members in a large one. Not thread-safe: for use on the event loop.
  *
  * @since 0.2
  */
 public final class PeerMesh implements DomainLeases.Peers {
-  /** Between two heartbeats to one peer. */
+  /** Interval of the heartbeats to a peer. */
   static final int INTERVAL_MS = 200;
 
-  /** News that can't wait are told at once, but not more often than this. */
-  private static final long URGENT_GAP_MS = 50;
+  /** Minimum time between heartbeats and urgent ones, which are sent ahead of the interval. */
+  private static final long URGENT_INTERVAL_MS = 50;
 
-  /** The same gap with hubs, where each urgent heartbeat reaches all processes. */
-  private static final long URGENT_GAP_OF_HUBS_MS = 100;
+  /** The same time with hubs, where each urgent heartbeat reaches all processes. */
+  private static final long HUB_URGENT_INTERVAL_MS = 100;
 
-  /** How long a peer that was alive still counts for shares of common budgets. */
+  /** Time for which a peer counts in shares of common budgets after its last heartbeat. */
   private static final long SHARE_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   /**
-   * How long after a heartbeat of an unknown process the process list counts as incomplete: one
-   * read at the longest interval of reads, 4 s, and its way.
+   * Time for which the process list counts as incomplete after a heartbeat of an unknown process:
+   * the longest interval between two reads of the list, 4 s, and the duration of a read.
    */
-  private static final long STRANGER_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long UNKNOWN_SENDER_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** How often the plan is made anew. */
+  /** Interval between two computations of the hub plan. */
   private static final long PLAN_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /**
@@ -83,10 +83,10 @@
   private final List<FleetBox> reportsOfMembers = new ArrayList<>();
   private final List<FleetBox> reportsOfHubs = new ArrayList<>();
   private HubPlan plan;
-  private Set<ProcessLocation> plannedPlaces = Set.of();
+  private Set<ProcessLocation> plannedLocations = Set.of();
   private boolean isReader = true;
   private long plannedNanos;
-  private long strangerNanos = Long.MIN_VALUE / 2;
+  private long unknownSenderNanos = Long.MIN_VALUE / 2;
   private long sentNanos;
   private boolean isUrgent;
   private Predicate<Set<String>> suspicionListener = heads -> false;
@@ -112,25 +112,22 @@
     this.plan = HubPlan.of(self, List.of());
   }
 
-  /** Makes the heartbeats of this process. */
+  /** Creates the heartbeats of this process. */
   public interface HeartbeatSource {
-    /** Returns what to tell now, for this process alone. */
+    /** Returns a heartbeat with the present state of this process alone. */
     Heartbeat make(String sender, long sentNanos);
 
-    /**
-     * Returns what a process lacks of the list that has read as far as the position, or an update
-     * without a proof if that is not known.
-     */
+    /** Returns the changes of the upstream list after the position; no proof if unknown. */
     ListUpdate listSince(StorePosition position);
 
-    /** Tells that all peers were told. */
+    /** Called when heartbeats have been sent to all receivers. */
     void onSent();
   }
 
   /**
-   * Opens the port and begins to send.
+   * Opens the port and starts to send heartbeats.
    *
-   * @return tells when the port is open, or why it can't be
+   * @return the future of the open port; fails if the port can't be opened
    */
   public ChannelFuture start(InetSocketAddress address) {
     timer.every(INTERVAL_MS, "heartbeats", this::sendAll);
@@ -143,22 +140,22 @@
   }
 
   /**
-   * Adds a process; an earlier incarnation of the same node is over.
+   * Adds a process and removes an earlier incarnation of the same node.
    *
-   * @param place the name of the incarnation and its zone
-   * @param address where it takes heartbeats
-   * @param position the place of its announcement among all: a later one counts, not null
+   * @param location the name of the incarnation and its zone, not null
+   * @param address its address for heartbeats, not null
+   * @param position the position of its announcement in the store: the latest counts, not null
    */
-  public void add(ProcessLocation place, String address, StorePosition position) {
-    peers.add(place, address, position);
+  public void add(ProcessLocation location, String address, StorePosition position) {
+    peers.add(location, address, position);
   }
 
-  /** Takes note that the announcements of all processes were read anew. */
+  /** Records that the announcements of all processes have been read again. */
   public void noteListed() {
     peers.noteListed();
   }
 
-  /** Forgets a process. */
+  /** Removes a process. */
   public void remove(String name) {
     peers.remove(name);
   }
@@ -173,11 +170,11 @@
     return 1 + countProcesses(SHARE_NANOS);
   }
 
-  /** Returns the names of the peers that are asked, and answer, whether a box is silent for all. */
+  /** Returns the names of the peers that are asked to try silent boxes, and report the result. */
   public Set<String> witnessNames() {
     Scope scope = plan.isFullMesh() ? Scope.SELF : isHub() ? Scope.HUB : Scope.REST;
     Set<String> names = new HashSet<>();
-    heard(scope, Peer.ALIVE_NANOS).forEach(peer -> names.add(peer.name()));
+    peersInScope(scope, Peer.ALIVE_NANOS).forEach(peer -> names.add(peer.name()));
     return names;
   }
 
@@ -195,24 +192,24 @@
     return names;
   }
 
-  /** Returns the newest heartbeats that together speak for all others, with when each was heard. */
+  /** Returns the latest heartbeats that together cover all others, with their times of arrival. */
   public Map<Heartbeat, Long> latestHeartbeats() {
-    Map<Heartbeat, Long> newest = new IdentityHashMap<>();
-    for (ReceivedHeartbeat heard : speakers(Peer.ALIVE_NANOS)) {
-      newest.put(heard.heartbeat(), heard.receivedNanos());
+    Map<Heartbeat, Long> latest = new IdentityHashMap<>();
+    for (ReceivedHeartbeat received : coverage(Peer.ALIVE_NANOS)) {
+      latest.put(received.heartbeat(), received.receivedNanos());
     }
-    return newest;
+    return latest;
   }
 
   @Override
   public @Nullable Set<String> keptDomains() {
-    List<ReceivedHeartbeat> speakers = speakers(Peer.ALIVE_NANOS);
-    if (speakers.isEmpty() && !peers.all().isEmpty()) {
+    List<ReceivedHeartbeat> latest = coverage(Peer.ALIVE_NANOS);
+    if (latest.isEmpty() && !peers.all().isEmpty()) {
       return null;
     }
-    Set<String> kept = new HashSet<>();
-    speakers.forEach(heard -> kept.addAll(heard.heartbeat().ownedDomains()));
-    return kept;
+    Set<String> owned = new HashSet<>();
+    latest.forEach(received -> owned.addAll(received.heartbeat().ownedDomains()));
+    return owned;
   }
 
   @Override
@@ -234,26 +231,26 @@
   }
 
   /**
-   * Returns true while the process list can bring this process nothing that it needs: it is a
-   * member whose hub answers, and no unknown process has sent it heartbeats.
+   * Returns true while this process does not need the process list: it is a member whose hub
+   * answers, and no unknown process has recently sent it a heartbeat.
    */
   public boolean canSkipProcessList() {
     return isMember()
-        && clockNanos.getAsLong() - strangerNanos > STRANGER_NANOS
-        && !heard(Scope.REST, Peer.ALIVE_NANOS).isEmpty();
+        && clockNanos.getAsLong() - unknownSenderNanos > UNKNOWN_SENDER_NANOS
+        && !peersInScope(Scope.REST, Peer.ALIVE_NANOS).isEmpty();
   }
 
   /**
    * Sets the listener for suspicions of the other processes.
    *
-   * @param listener takes the ids of silent heads and returns true if one of them is newly
-   *     suspected here, so that a hub passes the notice on, not null
+   * @param listener called with the ids of stalled heads, not null. It returns true if this process
+   *     did not suspect one of them before, in which case a hub forwards the notice
    */
   public void setSuspicionListener(Predicate<Set<String>> listener) {
     suspicionListener = listener;
   }
 
-  /** Sends a notice of silent heads at once, to all processes or to the hub, which passes it on. */
+  /** Sends a notice of stalled heads at once, to all processes or to the hub, which forwards it. */
   public void sendSuspicion(Set<String> heads) {
     if (plan.isFullMesh()) {
       sendNotice(Scope.SELF, heads, peers.all());
@@ -271,16 +268,16 @@
   }
 
   private void sendNoticeToHubs(Set<String> heads) {
-    sendNotice(Scope.HUB, heads, reachableHubs(heard(Scope.HUB, Peer.ALIVE_NANOS)));
+    sendNotice(Scope.HUB, heads, reachableHubs(peersInScope(Scope.HUB, Peer.ALIVE_NANOS)));
   }
 
   private void sendNoticeToMembers(Set<String> heads, String except) {
-    List<Peer> members = new ArrayList<>(heard(Scope.MEMBER, Peer.ALIVE_NANOS));
+    List<Peer> members = new ArrayList<>(peersInScope(Scope.MEMBER, Peer.ALIVE_NANOS));
     members.removeIf(member -> member.name().equals(except));
     sendNotice(Scope.REST, heads, members);
   }
 
-  /** Takes a notice; a hub passes on what is new to it, so that no notice goes round. */
+  /** Handles a notice; a hub forwards only new suspicions, so that no notice is sent in a loop. */
   private void receiveNotice(SuspicionNotice notice) {
     if (!suspicionListener.test(notice.heads()) || !isHub()) {
       return;
@@ -293,17 +290,17 @@
     }
   }
 
-  /** Tells all peers soon, since something can't wait. */
+  /** Sends heartbeats ahead of the regular interval, since a change is urgent. */
   public void sendSoon() {
     if (!isUrgent) {
       isUrgent = true;
       long sinceMs = TimeUnit.NANOSECONDS.toMillis(clockNanos.getAsLong() - sentNanos);
-      long gapMs = plan.isFullMesh() ? URGENT_GAP_MS : URGENT_GAP_OF_HUBS_MS;
-      timer.once(Math.max(0, gapMs - sinceMs), "urgent heartbeats", this::sendAll);
+      long intervalMs = plan.isFullMesh() ? URGENT_INTERVAL_MS : HUB_URGENT_INTERVAL_MS;
+      timer.once(Math.max(0, intervalMs - sinceMs), "urgent heartbeats", this::sendAll);
     }
   }
 
-  /** Sends heartbeats soon if this process is a hub, to pass on what it has just received. */
+  /** Sends heartbeats ahead of the regular interval if this process is a hub, to forward state. */
   public void sendSoonIfHub() {
     if (isHub()) {
       sendSoon();
@@ -311,48 +308,53 @@
   }
 
   private int countProcesses(long windowNanos) {
-    return speakers(windowNanos).stream().mapToInt(heard -> heard.heartbeat().processes()).sum();
+    return coverage(windowNanos).stream().mapToInt(one -> one.heartbeat().processes()).sum();
   }
 
-  /** Returns the heartbeats that together speak for all others, each process by one of them. */
-  private List<ReceivedHeartbeat> speakers(long windowNanos) {
+  /** Returns heartbeats that together cover all other processes, each by exactly one of them. */
+  private List<ReceivedHeartbeat> coverage(long windowNanos) {
     if (plan.isFullMesh()) {
-      return toHeard(heard(Scope.SELF, windowNanos));
+      return toReceived(peersInScope(Scope.SELF, windowNanos));
     }
     if (isHub()) {
-      List<Peer> speakers = new ArrayList<>(heard(Scope.HUB, windowNanos));
-      speakers.addAll(heard(Scope.MEMBER, windowNanos));
-      return toHeard(speakers);
+      List<Peer> hubsAndMembers = new ArrayList<>(peersInScope(Scope.HUB, windowNanos));
+      hubsAndMembers.addAll(peersInScope(Scope.MEMBER, windowNanos));
+      return toReceived(hubsAndMembers);
     }
-    // The heartbeats of the present hub cover those of a former one.
-    return heard(Scope.REST, windowNanos).stream()
+    // Of a former and a present hub, only the latest heartbeat counts: each covers all others.
+    return peersInScope(Scope.REST, windowNanos).stream()
         .max(Comparator.comparingLong(peer -> peer.lastReceivedNanos()))
-        .map(peer -> toHeard(List.of(peer)))
+        .map(peer -> toReceived(List.of(peer)))
         .orElse(List.of());
   }
 
-  private static List<ReceivedHeartbeat> toHeard(Collection<Peer> peers) {
-    return peers.stream().map(peer -> new ReceivedHeartbeat(peer.lastHeartbeat(), peer.lastReceivedNanos())).toList();
+  private static List<ReceivedHeartbeat> toReceived(Collection<Peer> peers) {
+    return peers.stream()
+        .map(peer -> new ReceivedHeartbeat(peer.lastHeartbeat(), peer.lastReceivedNanos()))
+        .toList();
   }
 
-  /** Returns the peers whose newest heartbeat came within the time and has the scope. */
-  private List<Peer> heard(Scope scope, long windowNanos) {
+  /** Returns the peers whose latest heartbeat has the scope and arrived within the window. */
+  private List<Peer> peersInScope(Scope scope, long windowNanos) {
     long nowNanos = clockNanos.getAsLong();
     return peers.all().stream()
-        .filter(peer -> peer.hasHeartbeatWithin(windowNanos, nowNanos) && peer.lastHeartbeat().scope() == scope)
+        .filter(
+            peer ->
+                peer.hasHeartbeatWithin(windowNanos, nowNanos)
+                    && peer.lastHeartbeat().scope() == scope)
         .toList();
   }
 
-  /** Returns true if this process is a hub by the plan, or others took it as theirs. */
+  /** Returns true if this process is a hub by its own plan or by that of another process. */
   private boolean isHub() {
-    return plan.isHub() || !heard(Scope.MEMBER, Peer.ALIVE_NANOS).isEmpty();
+    return plan.isHub() || !peersInScope(Scope.MEMBER, Peer.ALIVE_NANOS).isEmpty();
   }
 
   private void sendAll() {
     long nowNanos = clockNanos.getAsLong();
     sentNanos = nowNanos;
     isUrgent = false;
-    makePlan(nowNanos);
+    updatePlan(nowNanos);
     Heartbeat own = source.make(self.name(), nowNanos);
     if (plan.isFullMesh()) {
       peers.all().forEach(peer -> peer.send(own.withListUpdate(updateFor(peer, own)), nowNanos));
@@ -367,7 +369,7 @@
     source.onSent();
   }
 
-  private void makePlan(long nowNanos) {
+  private void updatePlan(long nowNanos) {
     if (nowNanos - plannedNanos < PLAN_NANOS) {
       return;
     }
@@ -375,14 +377,14 @@
     Set<ProcessLocation> usable = new HashSet<>();
     for (Peer peer : peers.all()) {
       if (!peer.isUnresponsive(nowNanos)) {
-        usable.add(peer.place());
+        usable.add(peer.location());
       }
     }
-    if (!usable.equals(plannedPlaces)) {
-      plannedPlaces = usable;
+    if (!usable.equals(plannedLocations)) {
+      plannedLocations = usable;
       choosePlan(HubPlan.of(self, usable));
     }
-    chooseReaders();
+    updateReader();
   }
 
   private void choosePlan(HubPlan next) {
@@ -392,12 +394,12 @@
     plan = next;
   }
 
-  /** Makes this process a reader if it ranks among the first hubs, or first of all without hubs. */
-  private void chooseReaders() {
+  /** Determines by rank among the hubs, or in a full mesh among all, whether this is a reader. */
+  private void updateReader() {
     Set<String> names = new HashSet<>();
     names.add(self.name());
     Scope scope = plan.isFullMesh() ? Scope.SELF : Scope.HUB;
-    heard(scope, Peer.ALIVE_NANOS).forEach(peer -> names.add(peer.name()));
+    peersInScope(scope, Peer.ALIVE_NANOS).forEach(peer -> names.add(peer.name()));
     isReader = !isMember() && Rendezvous.placeOf(self.name(), READER_KEY, names) < READERS;
   }
 
@@ -413,29 +415,29 @@
   }
 
   private void sendAsHub(Heartbeat own, long nowNanos) {
-    List<Peer> members = heard(Scope.MEMBER, Peer.ALIVE_NANOS);
-    List<Peer> aliveHubs = heard(Scope.HUB, Peer.ALIVE_NANOS);
-    List<ReceivedHeartbeat> hubsHeard = toHeard(aliveHubs);
+    List<Peer> members = peersInScope(Scope.MEMBER, Peer.ALIVE_NANOS);
+    List<Peer> aliveHubs = peersInScope(Scope.HUB, Peer.ALIVE_NANOS);
+    List<ReceivedHeartbeat> receivedFromHubs = toReceived(aliveHubs);
     List<FleetBox> reports = new ArrayList<>(own.reports());
     reports.addAll(reportsOfMembers);
     Heartbeat toHubs =
         Digest.merge(
-            own, Scope.HUB, toHeard(members), List.of(), reports, ListUpdate.NONE, nowNanos);
+            own, Scope.HUB, toReceived(members), List.of(), reports, ListUpdate.NONE, nowNanos);
     reachableHubs(aliveHubs)
         .forEach(
             hub -> hub.sendExpectingAnswer(toHubs.withListUpdate(updateFor(hub, own)), nowNanos));
     reports.addAll(reportsOfHubs);
-    List<ReceivedHeartbeat> all = new ArrayList<>(toHeard(members));
-    all.addAll(hubsHeard);
+    List<ReceivedHeartbeat> all = new ArrayList<>(toReceived(members));
+    all.addAll(receivedFromHubs);
     Heartbeat total =
-        Digest.merge(own, Scope.REST, all, hubsHeard, reports, ListUpdate.NONE, nowNanos);
+        Digest.merge(own, Scope.REST, all, receivedFromHubs, reports, ListUpdate.NONE, nowNanos);
     for (Peer member : members) {
       ListUpdate update = member.listUpdate(source::listSince, nowNanos);
       member.send(Digest.without(total, member.lastHeartbeat(), update), nowNanos);
     }
   }
 
-  /** Returns the hubs of the plan and those that are heard. */
+  /** Returns the hubs of the plan and all others that send heartbeats as hubs. */
   private Set<Peer> reachableHubs(Collection<Peer> aliveHubs) {
     Set<Peer> hubs = new HashSet<>(aliveHubs);
     for (String name : plan.hubs()) {
@@ -447,7 +449,7 @@
     return hubs;
   }
 
-  /** Returns the changes of the list for a peer if this process is a reader. */
+  /** Returns the changes of the upstream list for a peer if this process is a reader. */
   private ListUpdate updateFor(Peer peer, Heartbeat own) {
     if (!isReader || !peer.hasHeartbeatWithin(Peer.ALIVE_NANOS, clockNanos.getAsLong())) {
       return own.listUpdate();
@@ -459,7 +461,7 @@
   private void receive(Heartbeat heartbeat) {
     Peer peer = peers.findSender(heartbeat.sender());
     if (peer == null) {
-      strangerNanos = clockNanos.getAsLong();
+      unknownSenderNanos = clockNanos.getAsLong();
       return;
     }
     peer.receive(heartbeat, clockNanos.getAsLong());
@@ -468,7 +470,7 @@
     } else if (heartbeat.scope() == Scope.HUB) {
       reportsOfHubs.addAll(heartbeat.reports());
     }
-    // Routing depends on heads only; reports of other members are not urgent.
+    // Routing depends on replica heads only, so other reports are not urgent.
     if (heartbeat.reports().stream().anyMatch(FleetBox::isHead)) {
       sendSoonIfHub();
     }
--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerTable.java
@@ -13,16 +13,16 @@
 import org.shoreroad.member.HubPlan.ProcessLocation;
 
 /**
- * The other processes: of each node the incarnation that announced itself last.
+ * The other processes: for each node the incarnation that was announced last.
  *
- * <p>Where the store came back from an older copy, the order of two announcements of a node may be
- * unknown: the copy may hold an earlier one, or a later one at a lower offset. The known
- * incarnation then stays, and the other one takes its place when it sends a heartbeat. Used on the
- * event loop.
+ * <p>After the store was restored from an older copy, the order of two announcements of a node may
+ * be unknown: the copy may contain an earlier one, or a later one at a lower offset. The known
+ * incarnation then stays until the other one sends a heartbeat and replaces it. Not thread-safe:
+ * for use on the event loop.
  */
 final class PeerTable {
-  /** Stands between the name of a node and the number of its incarnation. */
-  private static final char INCARNATION_MARK = '~';
+  /** Separator between the name of a node and the number of its incarnation. */
+  private static final char INCARNATION_SEPARATOR = '~';
 
   private final EventLoop loop;
   private final LongSupplier clockNanos;
@@ -30,13 +30,18 @@
   private final ProcessLocation self;
   private final PeerChannels channels;
   private final Map<String, Peer> peers = new HashMap<>();
-  private final Map<String, Announced> rivals = new HashMap<>();
+  private final Map<String, UnorderedAnnouncement> unordered = new HashMap<>();
 
-  /** An announcement whose order to that of the known incarnation is unknown. */
-  private record Announced(ProcessLocation place, String address, StorePosition position) {}
+  /** An announcement whose order relative to that of the known incarnation is unknown. */
+  private record UnorderedAnnouncement(
+      ProcessLocation location, String address, StorePosition position) {}
 
   PeerTable(
-      EventLoop loop, LongSupplier clockNanos, EventLog log, ProcessLocation self, PeerChannels channels) {
+      EventLoop loop,
+      LongSupplier clockNanos,
+      EventLog log,
+      ProcessLocation self,
+      PeerChannels channels) {
     this.loop = loop;
     this.clockNanos = clockNanos;
     this.log = log;
@@ -54,42 +59,44 @@
     return Set.copyOf(peers.keySet());
   }
 
-  /** Returns the peer of a name, or null if it is not known. */
+  /** Returns the peer with the name, or null if it is unknown. */
   @Nullable Peer find(String name) {
     return peers.get(name);
   }
 
   /**
-   * Adds a process, or takes note that it announced itself again. An earlier incarnation of its
-   * node is over.
+   * Adds a process, or records that it has announced itself again. Replaces an earlier incarnation
+   * of its node.
    */
-  void add(ProcessLocation place, String address, StorePosition position) {
-    if (nodeOf(place.name()).equals(nodeOf(self.name()))) {
+  void add(ProcessLocation location, String address, StorePosition position) {
+    if (nodeOf(location.name()).equals(nodeOf(self.name()))) {
       return;
     }
-    Peer known = peers.get(place.name());
+    Peer known = peers.get(location.name());
     if (known != null) {
       known.noteAnnounced(position);
       return;
     }
-    Peer other = otherIncarnation(place.name());
+    Peer other = otherIncarnation(location.name());
     if (other != null && !position.isCertainlyAfter(other.position())) {
       if (!other.position().isCertainlyAfter(position)) {
-        rivals.put(place.name(), new Announced(place, address, position));
+        unordered.put(location.name(), new UnorderedAnnouncement(location, address, position));
       }
       return;
     }
-    replace(other, place, address, position);
+    replace(other, location, address, position);
   }
 
-  private void replace(@Nullable Peer other, ProcessLocation place, String address, StorePosition position) {
+  private void replace(
+      @Nullable Peer other, ProcessLocation location, String address, StorePosition position) {
     if (other != null) {
       remove(other.name());
     }
-    rivals.remove(place.name());
-    PeerConnection link = new PeerConnection(loop, clockNanos, log, place.name(), address, channels);
-    peers.put(place.name(), new Peer(place, position, link, log));
-    log.write("peer_known", "peer", place.name(), "address", address);
+    unordered.remove(location.name());
+    PeerConnection connection =
+        new PeerConnection(loop, clockNanos, log, location.name(), address, channels);
+    peers.put(location.name(), new Peer(location, position, connection, log));
+    log.write("peer_known", "peer", location.name(), "address", address);
   }
 
   private @Nullable Peer otherIncarnation(String name) {
@@ -103,30 +110,30 @@
   }
 
   /**
-   * Takes note that all announcements were read anew, so that those of one node may have an order
-   * by now.
+   * Processes the announcements of unknown order again after all announcements have been read
+   * again, since the order may be known by now.
    */
   void noteListed() {
-    List<Announced> waiting = List.copyOf(rivals.values());
-    rivals.clear();
-    waiting.forEach(rival -> add(rival.place(), rival.address(), rival.position()));
+    List<UnorderedAnnouncement> retried = List.copyOf(unordered.values());
+    unordered.clear();
+    retried.forEach(pending -> add(pending.location(), pending.address(), pending.position()));
   }
 
   /**
-   * Returns the peer that sent a heartbeat, or null if it is not known. An incarnation that sends
-   * heartbeats runs, so it takes the place of one that was announced in unknown order.
+   * Returns the peer that sent a heartbeat, or null if it is unknown. An incarnation that sends
+   * heartbeats is running, so it replaces one whose announcement has an unknown order to its own.
    */
   @Nullable Peer findSender(String name) {
-    Announced rival = rivals.get(name);
-    if (rival != null) {
-      replace(otherIncarnation(name), rival.place(), rival.address(), rival.position());
+    UnorderedAnnouncement pending = unordered.get(name);
+    if (pending != null) {
+      replace(otherIncarnation(name), pending.location(), pending.address(), pending.position());
     }
     return peers.get(name);
   }
 
-  /** Forgets a process. */
+  /** Removes a process. */
   void remove(String name) {
-    rivals.remove(name);
+    unordered.remove(name);
     Peer peer = peers.remove(name);
     if (peer != null) {
       peer.close();
@@ -134,7 +141,7 @@
   }
 
   private static String nodeOf(String incarnation) {
-    int mark = incarnation.lastIndexOf(INCARNATION_MARK);
-    return mark < 0 ? incarnation : incarnation.substring(0, mark);
+    int index = incarnation.lastIndexOf(INCARNATION_SEPARATOR);
+    return index < 0 ? incarnation : incarnation.substring(0, index);
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/peer/package-info.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/package-info.java
@@ -1,4 +1,6 @@
-/** Heartbeats between the processes of the system. */
+/**
+ * Heartbeats between the edge processes, and the records by which the processes find each other.
+ */
 @NullMarked
 package org.shoreroad.edge.peer;
 
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerMeshTest.java
@@ -26,25 +26,25 @@
 import org.shoreroad.limit.RequestLimit;
 import org.shoreroad.member.HubPlan.ProcessLocation;
 
-/** Several meshes on one event loop, over real connections on loopback. */
+/** Tests of several meshes on one event loop, over real connections on loopback. */
 class PeerMeshTest {
   private static final int ZONES = 2;
   private static final String BUSY = "i-busy";
 
-  /** Waiting for what must come at last; far beyond what a loaded machine needs. */
-  private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(60);
+  /** Timeout of conditions that must become true, ample for a loaded machine. */
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final EventLog log = new EventLog("t", System::nanoTime, OutputStream.nullOutputStream());
   private final List<Process> processes = new ArrayList<>();
 
-  /** One process: a mesh, what it has to say, and what it heard. */
+  /** A process with its mesh, the state that it sends, and the state that it has received. */
   private final class Process implements PeerMesh.HeartbeatSource {
-    private final ProcessLocation place;
+    private final ProcessLocation location;
     private final PeerMesh mesh;
-    private final Set<String> reportsHeard = new HashSet<>();
-    private final Set<Long> listHeard = new HashSet<>();
+    private final Set<String> reportsReceived = new HashSet<>();
+    private final Set<Long> listOffsetsReceived = new HashSet<>();
     private final Set<String> suspected = new HashSet<>();
     private final FleetLimits limits;
     private int notices;
@@ -52,20 +52,20 @@
     private String address = "";
 
     Process(int number) {
-      place = new ProcessLocation("box-" + number + "~" + number, "zone-" + number % ZONES);
-      limits = new FleetLimits(place.name());
-      mesh = new PeerMesh(loop, System::nanoTime, log, place, this, this::hear);
-      mesh.setSuspicionListener(this::learn);
+      location = new ProcessLocation("box-" + number + "~" + number, "zone-" + number % ZONES);
+      limits = new FleetLimits(location.name());
+      mesh = new PeerMesh(loop, System::nanoTime, log, location, this, this::onHeartbeat);
+      mesh.setSuspicionListener(this::onNotice);
     }
 
-    private boolean learn(Set<String> heads) {
+    private boolean onNotice(Set<String> heads) {
       notices++;
       return suspected.addAll(heads);
     }
 
-    private void hear(Heartbeat heartbeat) {
-      heartbeat.reports().forEach(report -> reportsHeard.add(report.id()));
-      listHeard.add(heartbeat.listUpdate().end().offset());
+    private void onHeartbeat(Heartbeat heartbeat) {
+      heartbeat.reports().forEach(report -> reportsReceived.add(report.id()));
+      listOffsetsReceived.add(heartbeat.listUpdate().end().offset());
       heartbeat.limitReports().forEach(report -> limits.learn(report, System.nanoTime()));
     }
 
@@ -124,7 +124,7 @@
         () -> {
           for (Process one : processes) {
             processes.forEach(
-                other -> one.mesh.add(other.place, other.address, StorePosition.of(1, 1)));
+                other -> one.mesh.add(other.location, other.address, StorePosition.of(1, 1)));
           }
           return true;
         });
@@ -135,7 +135,7 @@
   }
 
   private boolean becomesTrue(BooleanSupplier condition) throws Exception {
-    long endNanos = System.nanoTime() + PATIENCE_NANOS;
+    long endNanos = System.nanoTime() + TIMEOUT_NANOS;
     while (System.nanoTime() < endNanos) {
       if (onLoop(condition::getAsBoolean)) {
         return true;
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void aFewProcessesHearEachOther() throws Exception {
+  void fewProcessesExchangeHeartbeatsDirectly() throws Exception {
     start(4);
     assertThat(
         becomesTrue(() -> processes.stream().allMatch(p -> p.openElsewhere() == 3)), is(true));
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void amongManyEachLoadIsCountedOnceByEverybody() throws Exception {
+  void withHubsEachLoadIsCountedOnce() throws Exception {
     start(30);
     assertThat(
         becomesTrue(
@@ -173,47 +173,48 @@
   }
 
   @Test
-  void theReportOfAnEngineReachesAllProcessesThroughTheHubs() throws Exception {
+  void withHubsAReportOfAnEngineReachesAllProcesses() throws Exception {
     start(30);
     becomesTrue(() -> processes.stream().allMatch(p -> p.mesh.aliveCount() == 30));
-    Process teller = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
+    Process sender = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
     onLoop(
         () -> {
-          teller.reports =
+          sender.reports =
               List.of(new FleetBox("i-1", "s", "h:1", "z", 1, false, "d", null, List.of(), null));
-          teller.mesh.sendSoon();
+          sender.mesh.sendSoon();
           return true;
         });
     assertThat(
         becomesTrue(
-            () -> processes.stream().allMatch(p -> p == teller || p.reportsHeard.contains("i-1"))),
+            () ->
+                processes.stream().allMatch(p -> p == sender || p.reportsReceived.contains("i-1"))),
         is(true));
   }
 
   @Test
-  void aLimitReachesAllProcessesThroughTheHubs() throws Exception {
+  void withHubsALimitReachesAllProcesses() throws Exception {
     start(30);
     becomesTrue(() -> processes.stream().allMatch(p -> p.mesh.aliveCount() == 30));
-    Process teller = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
+    Process sender = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
     Incarnation upstream = new Incarnation("i-1", 7);
-    onLoop(() -> teller.limits.recordAnswer(upstream, new RequestLimit(1), 0, System.nanoTime()));
+    onLoop(() -> sender.limits.recordAnswer(upstream, new RequestLimit(1), 0, System.nanoTime()));
     assertThat(
         becomesTrue(() -> processes.stream().allMatch(p -> p.limits.isLimited(upstream))),
         is(true));
   }
 
   @Test
-  void allOfAFewProcessesShareLimits() throws Exception {
+  void withoutHubsAllProcessesShareLimits() throws Exception {
     start(4);
-    Set<String> names = Set.copyOf(processes.stream().map(p -> p.place.name()).toList());
+    Set<String> names = Set.copyOf(processes.stream().map(p -> p.location.name()).toList());
     assertThat(
         becomesTrue(() -> processes.stream().allMatch(p -> p.mesh.sharers().equals(names))),
         is(true));
   }
 
-  /** Members don't know who is there, so that each might think a part is its own. */
+  /** Members have no view of the alive processes, so several could take the same share. */
   @Test
-  void amongManyTheHubsShareLimits() throws Exception {
+  void withHubsOnlyHubsShareLimits() throws Exception {
     start(30);
     assertThat(
         becomesTrue(
@@ -221,7 +222,7 @@
               Set<String> hubs = new HashSet<>();
               processes.stream()
                   .filter(p -> !p.mesh.isMember())
-                  .forEach(p -> hubs.add(p.place.name()));
+                  .forEach(p -> hubs.add(p.location.name()));
               return hubs.size() == 6
                   && processes.stream()
                       .allMatch(p -> p.mesh.sharers().equals(p.mesh.isMember() ? Set.of() : hubs));
@@ -230,25 +231,25 @@
   }
 
   @Test
-  void aNoticeReachesEverybodyThroughTheHubsOnce() throws Exception {
+  void withHubsANoticeReachesEachProcessOnce() throws Exception {
     start(30);
     becomesTrue(() -> processes.stream().allMatch(p -> p.mesh.aliveCount() == 30));
-    Process teller = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
+    Process sender = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
     onLoop(
         () -> {
-          teller.suspected.add("i-1");
-          teller.mesh.sendSuspicion(Set.of("i-1"));
+          sender.suspected.add("i-1");
+          sender.mesh.sendSuspicion(Set.of("i-1"));
           return true;
         });
     assertThat(
         becomesTrue(() -> processes.stream().allMatch(p -> p.suspected.contains("i-1"))), is(true));
-    // The teller's hub and the hubs beyond pass it on once each.
+    // The sender's hub and the other hubs forward the notice once each.
     int notices = onLoop(() -> processes.stream().mapToInt(p -> p.notices).sum());
     assertThat(notices, is(29));
   }
 
   @Test
-  void aFewProcessesAreSentNoticesDirectly() throws Exception {
+  void withoutHubsNoticesAreSentDirectly() throws Exception {
     start(4);
     becomesTrue(() -> processes.stream().allMatch(p -> p.openElsewhere() == 3));
     onLoop(
@@ -262,38 +263,42 @@
   }
 
   @Test
-  void aMemberIsToldTheListFromWhereItStands() throws Exception {
+  void memberReceivesListChangesFromItsPosition() throws Exception {
     start(30);
     assertThat(
         becomesTrue(
-            () -> processes.stream().allMatch(p -> !p.mesh.isMember() || p.listHeard.contains(7L))),
+            () ->
+                processes.stream()
+                    .allMatch(p -> !p.mesh.isMember() || p.listOffsetsReceived.contains(7L))),
         is(true));
   }
 
   @Test
-  void threeProcessesReadTheListForAllOthers() throws Exception {
+  void withoutHubsThreeProcessesReadTheList() throws Exception {
     start(7);
-    assertThatThreeReadTheListForAllOthers();
+    assertThatThreeReadTheList();
   }
 
   @Test
-  void amongManyThreeHubsReadTheListForAllOthers() throws Exception {
+  void withHubsThreeHubsReadTheList() throws Exception {
     start(30);
-    assertThatThreeReadTheListForAllOthers();
+    assertThatThreeReadTheList();
   }
 
-  private void assertThatThreeReadTheListForAllOthers() throws Exception {
+  private void assertThatThreeReadTheList() throws Exception {
     assertThat(
         becomesTrue(() -> processes.stream().filter(p -> p.mesh.isReader()).count() == 3),
         is(true));
     assertThat(
         becomesTrue(
-            () -> processes.stream().allMatch(p -> p.mesh.isReader() || p.listHeard.contains(7L))),
+            () ->
+                processes.stream()
+                    .allMatch(p -> p.mesh.isReader() || p.listOffsetsReceived.contains(7L))),
         is(true));
   }
 
   @Test
-  void everybodyHearsWhichDomainsTheOthersKeep() throws Exception {
+  void withHubsOwnedDomainsReachAllProcesses() throws Exception {
     start(30);
     assertThat(
         becomesTrue(
@@ -305,61 +310,63 @@
   }
 
   @Test
-  void whoHearsNobodyKnowsOfNoDomains() throws Exception {
+  void ownedDomainsAreUnknownWithoutHeartbeats() throws Exception {
     start(1);
     Process alone = processes.get(0);
     assertThat(alone.mesh.keptDomains(), is(Set.of()));
     onLoop(
         () -> {
-          alone.mesh.add(new ProcessLocation("box-9~9", "zone-1"), "127.0.0.1:1", StorePosition.of(1, 1));
+          alone.mesh.add(
+              new ProcessLocation("box-9~9", "zone-1"), "127.0.0.1:1", StorePosition.of(1, 1));
           return true;
         });
     assertThat(alone.mesh.keptDomains() == null, is(true));
   }
 
   @Test
-  void amongManyOnlyMembersThatHearTheirHubNeedNoProcessList() throws Exception {
+  void onlyMembersWithAnAnsweringHubCanSkipTheProcessList() throws Exception {
     start(30);
     becomesTrue(() -> processes.stream().allMatch(p -> p.mesh.aliveCount() == 30));
     assertThat(
         becomesTrue(
-            () -> processes.stream().allMatch(p -> p.mesh.canSkipProcessList() == p.mesh.isMember())),
+            () ->
+                processes.stream().allMatch(p -> p.mesh.canSkipProcessList() == p.mesh.isMember())),
         is(true));
     Process member = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
     onLoop(
         () -> {
           processes.stream()
               .filter(p -> !p.mesh.isMember())
-              .forEach(hub -> hub.mesh.remove(member.place.name()));
+              .forEach(hub -> hub.mesh.remove(member.location.name()));
           return true;
         });
     assertThat(becomesTrue(() -> !member.mesh.canSkipProcessList()), is(true));
   }
 
   @Test
-  void aHeartbeatOfAnUnknownProcessMakesTheListNeeded() throws Exception {
+  void heartbeatOfAnUnknownProcessRequiresTheProcessList() throws Exception {
     start(30);
     becomesTrue(() -> processes.stream().allMatch(p -> p.mesh.aliveCount() == 30));
     Process member = processes.stream().filter(p -> p.mesh.isMember()).findFirst().orElseThrow();
     assertThat(onLoop(member.mesh::canSkipProcessList), is(true));
-    Process stranger = new Process(31);
+    Process unknown = new Process(31);
     onLoop(
         () -> {
-          stranger.mesh.add(member.place, member.address, StorePosition.of(1, 1));
-          return stranger.mesh.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+          unknown.mesh.add(member.location, member.address, StorePosition.of(1, 1));
+          return unknown.mesh.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         });
     assertThat(becomesTrue(() -> !member.mesh.canSkipProcessList()), is(true));
   }
 
   @Test
-  void anotherHubIsChosenWhenOneIsGone() throws Exception {
+  void lostHubIsReplaced() throws Exception {
     start(30);
     becomesTrue(() -> processes.stream().allMatch(p -> p.mesh.aliveCount() == 30));
     Process hub = processes.stream().filter(p -> !p.mesh.isMember()).findFirst().orElseThrow();
     onLoop(
         () -> {
-          processes.forEach(p -> p.mesh.remove(hub.place.name()));
-          processes.forEach(p -> hub.mesh.remove(p.place.name()));
+          processes.forEach(p -> p.mesh.remove(hub.location.name()));
+          processes.forEach(p -> hub.mesh.remove(p.location.name()));
           return true;
         });
     assertThat(
@@ -368,20 +375,22 @@
   }
 
   @Test
-  void aLaterLifeOfANodeTakesThePlaceOfTheFormerOne() throws Exception {
+  void laterIncarnationReplacesTheFormerOne() throws Exception {
     start(2);
     Process one = processes.get(0);
     onLoop(
         () -> {
           one.mesh.add(
-              new ProcessLocation("box-1~later", "zone-1"), processes.get(1).address, StorePosition.of(1, 9));
+              new ProcessLocation("box-1~later", "zone-1"),
+              processes.get(1).address,
+              StorePosition.of(1, 9));
           one.mesh.add(
               new ProcessLocation("box-1~earlier", "zone-1"),
               processes.get(1).address,
               StorePosition.of(1, 4));
           return true;
         });
-    // The former life's heartbeats count no more.
+    // The heartbeats of the former incarnation no longer count.
     assertThat(becomesTrue(() -> one.mesh.aliveCount() == 1), is(true));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerTableTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerTableTest.java
@@ -28,13 +28,13 @@
   }
 
   @Test
-  void anotherIncarnationOfThisNodeIsNoPeer() {
+  void anotherIncarnationOfThisNodeIsIgnored() {
     add("box-0~9", 1, 9);
     assertThat(table.names(), is(Set.of()));
   }
 
   @Test
-  void anEarlierAnnouncementOfOneEraIsPassedOver() {
+  void earlierAnnouncementInTheSameEraIsIgnored() {
     add("box-1~b", 1, 9);
     add("box-1~a", 1, 4);
     assertThat(table.names(), is(Set.of("box-1~b")));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void anIncarnationAnnouncedInUnknownOrderTakesThePlaceWhenItSends() {
+  void incarnationOfUnknownOrderReplacesTheKnownOneOnceItSends() {
     add("box-1~a", 1, 9);
     add("box-1~b", 2, 4);
     assertThat(table.names(), is(Set.of("box-1~a")));
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aProcessThatIsRemovedIsNoLongerKnown() {
+  void removedProcessIsUnknown() {
     add("box-1~a", 1, 9);
     table.remove("box-1~a");
     assertThat(table.find("box-1~a"), is(nullValue()));
