--- a/edge/src/main/java/org/shoreroad/edge/peer/Announcement.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/Announcement.java
@@ -5,32 +5,33 @@
 import org.shoreroad.edge.http.NumericAddress;
 
 /**
- * What a process writes of itself for the others to find it.
+ * Record that a process writes to the store so that the other processes find it.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param address where it takes heartbeats, as host and port, not null
- * @param zone its availability zone, not null
+ * @param address the address for heartbeats, as host and port, not null
+ * @param zone the availability zone of the process, not null
  * @since 0.2
  */
 public record Announcement(String address, String zone) {
   private static final String SEPARATOR = " ";
 
-  /** Checks that both are there. */
+  /** Checks that no component is null. */
   public Announcement {
     Objects.requireNonNull(address, "address");
     Objects.requireNonNull(zone, "zone");
   }
 
-  /** Returns the form in which it is written. */
+  /** Returns the stored form: address and zone, separated by a space. */
   public byte[] toBytes() {
     return (address + SEPARATOR + zone).getBytes(StandardCharsets.UTF_8);
   }
 
   /**
-   * Returns the announcement that was written; without a zone it is the empty one.
+   * Parses the stored form; the zone is empty if it is missing.
    *
-   * @throws IllegalArgumentException if the bytes are none; another writer may have put them there
+   * @throws IllegalArgumentException if the bytes contain no valid address; other writers may have
+   *     written to the topic
    */
   public static Announcement parse(byte[] bytes) {
     String[] parts = new String(bytes, StandardCharsets.UTF_8).split(SEPARATOR, 2);
--- a/edge/src/main/java/org/shoreroad/edge/peer/ProcessRegistry.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/ProcessRegistry.java
@@ -17,13 +17,13 @@
 /**
  * Registry of the processes that have announced themselves in the store, including this one.
  *
- * <p>Used on the event loop.
+ * <p>Not thread-safe: for use on the event loop.
  *
  * @since 0.2
  */
 public final class ProcessRegistry implements TopicFollower.Listener {
-  /** An announcement that was not taken is written again after this time. */
-  private static final int WRITE_AGAIN_MS = 500;
+  /** Delay before the retry of a failed write of the announcement. */
+  private static final int RETRY_DELAY_MS = 500;
 
   private final Store store;
   private final EventLoop loop;
@@ -34,7 +34,8 @@
   private StorePosition announced = StorePosition.NOWHERE;
 
   /** Creates a registry; {@link #announce} adds this process. */
-  public ProcessRegistry(Store store, EventLoop loop, EventLog log, PeerMesh mesh, ProcessLocation self) {
+  public ProcessRegistry(
+      Store store, EventLoop loop, EventLog log, PeerMesh mesh, ProcessLocation self) {
     this.store = store;
     this.loop = loop;
     this.log = log;
@@ -42,7 +43,7 @@
     this.self = self;
   }
 
-  /** Announces this process, again and again until the store has taken it. */
+  /** Announces this process; retries until the store accepts the announcement. */
   public void announce(Announcement newAnnouncement) {
     announcement = newAnnouncement;
     write(newAnnouncement);
@@ -63,7 +64,7 @@
           @Override
           public void onFault(StoreFault fault) {
             log.write("not_announced", "fault", fault);
-            loop.schedule(() -> write(written), WRITE_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> write(written), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
           }
         });
   }
@@ -79,9 +80,9 @@
   }
 
   /**
-   * Announces this process again if the store took that and came back from a copy without it.
-   * Others keep on with the known processes meanwhile, also with those that the copy lacks: a
-   * process is found silent by its heartbeats.
+   * Announces this process again if the store had accepted its announcement and was then restored
+   * from a copy without it. Processes that the copy lacks remain known: heartbeats detect processes
+   * that are gone.
    */
   @Override
   public void onListed(Set<String> keys, StorePosition end) {
@@ -101,8 +102,8 @@
   private void add(StoreRecord record, byte[] value) {
     try {
       Announcement announcement = Announcement.parse(value);
-      ProcessLocation place = new ProcessLocation(record.key(), announcement.zone());
-      mesh.add(place, announcement.address(), record.position());
+      ProcessLocation location = new ProcessLocation(record.key(), announcement.zone());
+      mesh.add(location, announcement.address(), record.position());
     } catch (IllegalArgumentException e) {
       log.write("announcement_unreadable", "peer", record.key(), "why", e.getMessage());
     }
--- a/edge/src/main/java/org/shoreroad/edge/peer/QuarantineRecord.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/QuarantineRecord.java
@@ -10,20 +10,20 @@
 import org.shoreroad.quarantine.CrashReport;
 
 /**
- * A quarantined request as the store holds it.
+ * Stored form of a quarantined request.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param writtenMs when it was written, in milliseconds since 1970 by the writer's time of day
- * @param report the crashes under it, not null
+ * @param writtenMs the wall clock time of the write at the writer, in milliseconds since 1970
+ * @param report the crashes under the request, not null
  */
 record QuarantineRecord(long writtenMs, CrashReport report) {
-  /** Checks that the report is there. */
+  /** Checks that the report is not null. */
   QuarantineRecord {
     Objects.requireNonNull(report, "report");
   }
 
-  /** Signals bytes that are no record. */
+  /** Thrown if bytes are no valid record. */
   static final class UnreadableException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -50,7 +50,8 @@
   /**
    * Reads a record.
    *
-   * @throws UnreadableException if the bytes are none; another writer may have put them there
+   * @throws UnreadableException if the bytes are no valid record; other writers may have written to
+   *     the topic
    */
   static QuarantineRecord parse(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
@@ -65,7 +66,7 @@
     }
   }
 
-  /** Returns the report with the age that it has by now; a time to come counts as now. */
+  /** Returns the report with its present age; a write time in the future counts as now. */
   CrashReport toReport(long nowMs) {
     long ageMs = Math.max(0, nowMs - writtenMs);
     return new CrashReport(
--- a/edge/src/main/java/org/shoreroad/edge/peer/QuarantineRegistry.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/QuarantineRegistry.java
@@ -20,91 +20,91 @@
 import org.shoreroad.quarantine.CrashReport;
 
 /**
- * The quarantined requests in the store, for processes that start when no other one runs.
+ * Quarantined requests in the store, for processes that start while no other process runs.
  *
- * <p>Running processes tell each other in heartbeats, so the store is written once for each
- * quarantine, by the process that began it, and read once by each process at its start. Without it
- * one request ended 3 upstreams more after each end of all processes (three processes on loopback,
- * two runs). Used on the event loop.
+ * <p>Running processes exchange quarantines in heartbeats, so each quarantine is written to the
+ * store once, by the process that started it, and each process reads the store once at its start.
+ * Without the store, one request crashed 3 more upstreams after each restart of all processes
+ * (three processes on loopback). Not thread-safe: for use on the event loop.
  *
  * @since 0.2
  */
 public final class QuarantineRegistry {
-  /** The first pause after a fault; doubled up to the longest, so that a store in need rests. */
-  private static final int SHORTEST_PAUSE_MS = 500;
+  /** First retry delay; doubled up to the maximum to reduce the load on an overloaded store. */
+  private static final int MIN_RETRY_DELAY_MS = 500;
 
-  private static final int LONGEST_PAUSE_MS = 8_000;
+  private static final int MAX_RETRY_DELAY_MS = 8_000;
 
-  /** A quarantine ends after ten minutes without the request. */
-  private static final long LASTING_MS = TimeUnit.MINUTES.toMillis(10);
+  /** Time without the request after which its quarantine ends. */
+  private static final long QUARANTINE_MS = TimeUnit.MINUTES.toMillis(10);
 
   private final Store store;
   private final EventLoop loop;
-  private final LongSupplier timeOfDayMs;
+  private final LongSupplier wallClockMs;
   private final EventLog log;
   private final Consumer<Collection<CrashReport>> listener;
   private final Map<String, Written> written = new LinkedHashMap<>();
 
-  /** A record that the store has taken. */
+  /** A record that the store has accepted. */
   private record Written(QuarantineRecord record, StorePosition position) {}
 
   /**
-   * Creates a registry; {@link #load} reads what the store holds.
+   * Creates a registry; {@link #load} reads the records from the store.
    *
    * @param store the store, not null
    * @param loop the event loop, not null
-   * @param timeOfDayMs the time of day in milliseconds since 1970, not null. It tells the age of a
-   *     record over restarts. Where it was set back, a quarantine ends up to ten minutes late;
-   *     where it was set ahead, as much too early
+   * @param wallClockMs the wall clock in milliseconds since 1970, not null. It determines the age
+   *     of a record across restarts. If the clock was set back, a quarantine ends up to ten minutes
+   *     late; if it was set forward, up to ten minutes early
    * @param log the log, not null
-   * @param listener takes the quarantined requests of the store, not null
+   * @param listener called with the quarantined requests of the store, not null
    */
   public QuarantineRegistry(
       Store store,
       EventLoop loop,
-      LongSupplier timeOfDayMs,
+      LongSupplier wallClockMs,
       EventLog log,
       Consumer<Collection<CrashReport>> listener) {
     this.store = store;
     this.loop = loop;
-    this.timeOfDayMs = timeOfDayMs;
+    this.wallClockMs = wallClockMs;
     this.log = log;
     this.listener = listener;
   }
 
-  /** Reads all records, again and again until the store has answered. */
+  /** Reads all records; retries until the store answers. */
   public void load() {
-    load("", SHORTEST_PAUSE_MS);
+    load("", MIN_RETRY_DELAY_MS);
   }
 
-  private void load(String afterKey, int pauseMs) {
+  private void load(String afterKey, int delayMs) {
     store.readNewest(
         Topic.QUARANTINE,
         afterKey,
         new StoreCallback<>() {
           @Override
           public void onValue(StorePage page) {
-            learn(page.records());
+            deliver(page.records());
             if (page.hasMore() && !page.records().isEmpty()) {
-              load(page.records().get(page.records().size() - 1).key(), SHORTEST_PAUSE_MS);
+              load(page.records().get(page.records().size() - 1).key(), MIN_RETRY_DELAY_MS);
             }
           }
 
           @Override
           public void onFault(StoreFault fault) {
             log.write("quarantine_not_read", "fault", fault);
-            again(() -> load(afterKey, longer(pauseMs)), pauseMs);
+            retryAfter(() -> load(afterKey, nextDelayMs(delayMs)), delayMs);
           }
         });
   }
 
-  private void learn(List<StoreRecord> records) {
+  private void deliver(List<StoreRecord> records) {
     List<CrashReport> reports = new ArrayList<>();
     for (StoreRecord record : records) {
       byte[] value = record.value();
       try {
         if (value != null) {
-          reports.add(QuarantineRecord.parse(value).toReport(timeOfDayMs.getAsLong()));
+          reports.add(QuarantineRecord.parse(value).toReport(wallClockMs.getAsLong()));
         }
       } catch (QuarantineRecord.UnreadableException e) {
         log.write("quarantine_record_unreadable", "key", record.key(), "why", e.getMessage());
@@ -113,13 +113,13 @@
     listener.accept(reports);
   }
 
-  /** Writes a quarantined request, again and again until the store has taken it. */
+  /** Writes a quarantined request; retries until the store accepts it. */
   public void write(CrashReport report) {
-    QuarantineRecord record = new QuarantineRecord(timeOfDayMs.getAsLong(), report);
-    write(report.fingerprint().toString(), record, SHORTEST_PAUSE_MS);
+    QuarantineRecord record = new QuarantineRecord(wallClockMs.getAsLong(), report);
+    write(report.fingerprint().toString(), record, MIN_RETRY_DELAY_MS);
   }
 
-  private void write(String key, QuarantineRecord record, int pauseMs) {
+  private void write(String key, QuarantineRecord record, int delayMs) {
     store.write(
         Topic.QUARANTINE,
         key,
@@ -127,7 +127,7 @@
         new StoreCallback<>() {
           @Override
           public void onValue(StorePosition position) {
-            forgetEnded();
+            removeEnded();
             written.put(key, new Written(record, position));
             log.write("quarantine_written", "fingerprint", key);
           }
@@ -135,38 +135,38 @@
           @Override
           public void onFault(StoreFault fault) {
             log.write("quarantine_not_written", "fingerprint", key, "fault", fault);
-            again(() -> write(key, record, longer(pauseMs)), pauseMs);
+            retryAfter(() -> write(key, record, nextDelayMs(delayMs)), delayMs);
           }
         });
   }
 
   /**
-   * Writes the records again that this process wrote in an earlier era: the store came back from an
-   * older copy, which may lack them. Quarantines are few, so they are not looked for in the copy.
+   * Rewrites the records that this process wrote in an earlier era: the store was restored from an
+   * older copy, which may lack them. Quarantines are few, so the copy is not searched for them.
    *
    * @param era the new era of the store
    */
   public void writeAgain(long era) {
-    forgetEnded();
+    removeEnded();
     Map.copyOf(written)
         .forEach(
-            (key, taken) -> {
-              if (taken.position().era() < era) {
-                write(key, taken.record(), SHORTEST_PAUSE_MS);
+            (key, accepted) -> {
+              if (accepted.position().era() < era) {
+                write(key, accepted.record(), MIN_RETRY_DELAY_MS);
               }
             });
   }
 
-  private void forgetEnded() {
-    long oldestMs = timeOfDayMs.getAsLong() - LASTING_MS;
-    written.values().removeIf(taken -> taken.record().writtenMs() < oldestMs);
+  private void removeEnded() {
+    long oldestMs = wallClockMs.getAsLong() - QUARANTINE_MS;
+    written.values().removeIf(accepted -> accepted.record().writtenMs() < oldestMs);
   }
 
-  private void again(Runnable task, int pauseMs) {
-    loop.schedule(task, pauseMs, TimeUnit.MILLISECONDS);
+  private void retryAfter(Runnable task, int delayMs) {
+    loop.schedule(task, delayMs, TimeUnit.MILLISECONDS);
   }
 
-  private static int longer(int pauseMs) {
-    return Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
+  private static int nextDelayMs(int delayMs) {
+    return Math.min(MAX_RETRY_DELAY_MS, 2 * delayMs);
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/peer/SuspicionNotice.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/SuspicionNotice.java
@@ -9,20 +9,20 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Notice that a head has fallen silent, sent at once and passed on by hubs.
+ * Notice that a replica head has stalled, sent immediately and forwarded by hubs.
  *
- * <p>Heartbeats carry the same, but each hop of theirs waits for an interval of 0.1 to 0.2 s: with
- * three hops a suspicion would arrive after the request that waits there has missed its target. The
- * large model's classes earned 0.77 and 0.82 of their payoff with heartbeats alone and 0.91 with
- * notices (one day at 18 processes, one run each). This class is immutable and thread-safe.
+ * <p>Heartbeats carry the same suspicions, but each hop waits for a heartbeat interval of 0.1 to
+ * 0.2 s: after three hops, a request that waits at the head has already missed its latency target.
+ * The traffic classes of the large model earned 0.77 and 0.82 of their payoff with heartbeats alone
+ * and 0.91 with notices (18 processes, one day). This class is immutable and thread-safe.
  *
- * @param sender the name of the process that sends or passes on the notice, not null
- * @param scope whom the sender speaks for to the receiver, not null
- * @param heads the ids of the silent heads, not null
+ * @param sender the name of the process that sends or forwards the notice, not null
+ * @param scope the scope of the notice, which determines whether a hub forwards it, not null
+ * @param heads the ids of the stalled heads, not null
  * @since 0.2
  */
 public record SuspicionNotice(String sender, Heartbeat.Scope scope, Set<String> heads) {
-  /** The first byte of a notice; a heartbeat begins with a text, whose first byte is larger. */
+  /** First byte of a notice; a heartbeat begins with a string, whose first byte is larger. */
   private static final byte MARK = 1;
 
   /** Copies the set. */
@@ -54,7 +54,7 @@
   /**
    * Reads a notice.
    *
-   * @throws IOException or an unchecked exception of the library if the bytes are none
+   * @throws IOException or an unchecked exception if the bytes are no valid notice
    */
   static SuspicionNotice parse(byte[] bytes) throws IOException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
--- a/edge/src/test/java/org/shoreroad/edge/peer/AnnouncementTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/AnnouncementTest.java
@@ -10,20 +10,20 @@
 
 class AnnouncementTest {
   @Test
-  void whatIsWrittenIsRead() {
+  void parseReadsWhatToBytesWrites() {
     Announcement announcement = new Announcement("10.0.0.1:7340", "zone 2");
     assertThat(Announcement.parse(announcement.toBytes()), is(announcement));
   }
 
   @Test
-  void withoutAZoneItIsTheEmptyOne() {
+  void missingZoneIsEmpty() {
     byte[] bytes = "10.0.0.1:7340".getBytes(StandardCharsets.UTF_8);
     assertThat(Announcement.parse(bytes), is(new Announcement("10.0.0.1:7340", "")));
   }
 
-  /** An address that can't be opened would end each round of heartbeats with an exception. */
+  /** An invalid address would end each round of heartbeats with an exception. */
   @Test
-  void bytesOfAnotherWriterAreRefused() {
+  void invalidBytesAreRejected() {
     for (String text : List.of("", "h:1 z", "10.0.0.1:x z", "{}", "\u0000")) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
       assertThrows(IllegalArgumentException.class, () -> Announcement.parse(bytes));
--- a/edge/src/test/java/org/shoreroad/edge/peer/ProcessRegistryTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/ProcessRegistryTest.java
@@ -22,22 +22,23 @@
 import org.shoreroad.edge.sync.Topic;
 import org.shoreroad.member.HubPlan.ProcessLocation;
 
-/** Announcements of processes, over restarts and over a store that comes back older. */
+/** Tests of announcements across restarts and after the store was restored from an older copy. */
 class ProcessRegistryTest {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final EventLog log = new EventLog("t", System::nanoTime, OutputStream.nullOutputStream());
   private final FakeStore store = new FakeStore();
   private final ProcessLocation self = new ProcessLocation("box-0~0", "z");
   private final PeerMesh mesh =
-      new PeerMesh(channel.eventLoop(), System::nanoTime, log, self, new Silent(), beat -> {});
+      new PeerMesh(
+          channel.eventLoop(), System::nanoTime, log, self, new EmptyHeartbeats(), heartbeat -> {});
   private final ProcessRegistry registry =
       new ProcessRegistry(store, channel.eventLoop(), log, mesh, self);
 
-  /** Takes writes, or refuses them. */
+  /** A store that accepts writes or answers them with a fault. */
   private static final class FakeStore implements Store {
     private final List<String> writtenKeys = new ArrayList<>();
     private long era = 1;
-    private boolean isAway;
+    private boolean isUnavailable;
 
     @Override
     public void read(Topic topic, long from, int waitMs, StoreCallback<StorePage> callback) {
@@ -52,7 +53,7 @@
     @Override
     public void write(
         Topic topic, String key, byte[] value, StoreCallback<StorePosition> callback) {
-      if (isAway) {
+      if (isUnavailable) {
         callback.onFault(StoreFault.NO_ANSWER);
         return;
       }
@@ -61,8 +62,8 @@
     }
   }
 
-  /** Sends nothing worth reading. */
-  private static final class Silent implements PeerMesh.HeartbeatSource {
+  /** Sends empty heartbeats. */
+  private static final class EmptyHeartbeats implements PeerMesh.HeartbeatSource {
     @Override
     public Heartbeat make(String sender, long sentNanos) {
       return Heartbeats.of(sender).bare();
@@ -75,7 +76,7 @@
 
     @Override
     public void onSent() {
-      // Nothing was sent.
+      // No state to update.
     }
   }
 
@@ -88,13 +89,13 @@
     registry.onRecord(new StoreRecord(position, name, value));
   }
 
-  private void pass(int millis) {
+  private void advanceMs(int millis) {
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
     channel.runScheduledPendingTasks();
   }
 
   @Test
-  void anAnnouncementThatTheCopyLacksIsWrittenAgainOnce() {
+  void announcementMissingInTheCopyIsRewrittenOnce() {
     registry.announce(new Announcement("127.0.0.1:2", "z"));
     registry.onListed(Set.of(), at(1, 0));
     assertThat(store.writtenKeys.size(), is(1));
@@ -105,30 +106,30 @@
   }
 
   @Test
-  void anAnnouncementThatTheCopyHoldsIsNotWrittenAgain() {
+  void announcementInTheCopyIsNotRewritten() {
     registry.announce(new Announcement("127.0.0.1:2", "z"));
     store.era = 2;
     registry.onListed(Set.of("box-0~0"), at(2, 1));
     assertThat(store.writtenKeys.size(), is(1));
-    // A second drill may lose what the first one kept.
+    // A second restore may lose an announcement that the first one contained.
     store.era = 3;
     registry.onListed(Set.of(), at(3, 0));
     assertThat(store.writtenKeys.size(), is(2));
   }
 
   @Test
-  void anAnnouncementUnderWayIsNotWrittenTwice() {
-    store.isAway = true;
+  void pendingAnnouncementIsNotWrittenTwice() {
+    store.isUnavailable = true;
     registry.announce(new Announcement("127.0.0.1:2", "z"));
     registry.onListed(Set.of(), at(2, 0));
-    store.isAway = false;
+    store.isUnavailable = false;
     store.era = 2;
-    pass(1_000);
+    advanceMs(1_000);
     assertThat(store.writtenKeys.size(), is(1));
   }
 
   @Test
-  void knownProcessesStayIfTheCopyLacksThem() {
+  void knownProcessesMissingInTheCopyRemain() {
     announced("box-1~1", at(1, 3));
     announced("box-2~1", at(1, 4));
     announced("box-1~1", at(2, 3));
@@ -137,7 +138,7 @@
   }
 
   @Test
-  void aCopyDoesNotBringAnEarlierIncarnationBack() {
+  void earlierIncarnationInTheCopyIsIgnored() {
     announced("box-1~1", at(1, 3));
     announced("box-1~2", at(1, 9));
     announced("box-1~1", at(2, 3));
@@ -148,9 +149,9 @@
   }
 
   @Test
-  void aLaterIncarnationAtALowerOffsetIsTakenFromAListing() {
+  void laterIncarnationAtALowerOffsetIsAccepted() {
     announced("box-1~b", at(1, 9));
-    // A listing comes in the order of the keys; the copy had the earlier announcement at 5.
+    // A listing is in the order of the keys; in the copy, the earlier announcement is at offset 5.
     announced("box-1~a", at(2, 6));
     announced("box-1~b", at(2, 5));
     registry.onListed(Set.of("box-1~a", "box-1~b"), at(2, 7));
--- a/edge/src/test/java/org/shoreroad/edge/peer/QuarantineRegistryTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/QuarantineRegistryTest.java
@@ -31,7 +31,7 @@
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final FakeTopic store = new FakeTopic();
-  private final List<CrashReport> learned = new ArrayList<>();
+  private final List<CrashReport> delivered = new ArrayList<>();
   private long nowMs = 1_773_212_146_318L;
   private final QuarantineRegistry registry =
       new QuarantineRegistry(
@@ -39,9 +39,9 @@
           channel.eventLoop(),
           () -> nowMs,
           new EventLog("test", System::nanoTime, OutputStream.nullOutputStream()),
-          learned::addAll);
+          delivered::addAll);
 
-  /** One keyed topic in memory that fails as often as it is told. */
+  /** A keyed topic in memory that fails the next {@link #faults} calls. */
   private static final class FakeTopic implements Store {
     private long era = 1;
     private final Map<String, byte[]> values = new TreeMap<>();
@@ -95,52 +95,52 @@
     return new CrashReport(new RequestFingerprint(number, 0), List.of(crash), Set.of(), 0);
   }
 
-  private void pass(int millis) {
+  private void advanceMs(int millis) {
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
     channel.runScheduledPendingTasks();
   }
 
   @Test
-  void whatIsWrittenIsReadOverAllPagesWithItsAge() {
+  void loadReadsAllPagesWithTheAgeOfRecords() {
     for (int i = 0; i < 5; i++) {
       registry.write(report(i));
     }
     nowMs += 7_000;
     registry.load();
-    assertThat(learned.size(), is(5));
-    assertThat(learned.get(0).idleMs(), is(7_000L));
-    assertThat(learned.get(0).crashes(), is(report(0).crashes()));
+    assertThat(delivered.size(), is(5));
+    assertThat(delivered.get(0).idleMs(), is(7_000L));
+    assertThat(delivered.get(0).crashes(), is(report(0).crashes()));
   }
 
   @Test
-  void aTimeOfDayThatWasSetBackMakesNoRecordYoungerThanNew() {
+  void ageIsNotNegativeAfterTheClockWasSetBack() {
     registry.write(report(1));
     nowMs -= 60_000;
     registry.load();
-    assertThat(learned.get(0).idleMs(), is(0L));
+    assertThat(delivered.get(0).idleMs(), is(0L));
   }
 
   @Test
-  void aStoreThatRefusesIsAskedAgainLessAndLessOften() {
+  void retryDelayDoublesAfterEachFault() {
     store.faults = 4;
     registry.write(report(1));
-    pass(500);
-    pass(1_000);
-    pass(1_999);
+    advanceMs(500);
+    advanceMs(1_000);
+    advanceMs(1_999);
     assertThat(store.calls, is(3));
-    pass(1);
-    pass(4_000);
+    advanceMs(1);
+    advanceMs(4_000);
     assertThat(store.values.size(), is(1));
     store.faults = 1;
     registry.load();
-    assertThat(learned, empty());
-    pass(500);
-    assertThat(learned.size(), is(1));
+    assertThat(delivered, empty());
+    advanceMs(500);
+    assertThat(delivered.size(), is(1));
   }
 
-  /** The store took the records and came back from a copy without them. */
+  /** The store accepted the records and was then restored from a copy without them. */
   @Test
-  void whatThisProcessWroteIsWrittenAgainOnceInANewEra() {
+  void ownRecordsAreRewrittenOnceInANewEra() {
     registry.write(report(1));
     nowMs += 5 * 60_000;
     registry.write(report(2));
@@ -158,12 +158,12 @@
   }
 
   @Test
-  void aRecordOfAnotherWriterCostsOnlyItself() {
+  void unreadableRecordIsSkipped() {
     registry.write(report(1));
     store.values.put("0", new byte[] {1, 2, 3});
     store.values.put("1", new byte[0]);
     store.values.put("2", new byte[] {(byte) 0xdd, 0x7f, 0x7f, 0x7f, 0x7f});
     registry.load();
-    assertThat(learned.size(), is(1));
+    assertThat(delivered.size(), is(1));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/peer/SuspicionNoticeTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/SuspicionNoticeTest.java
@@ -14,13 +14,13 @@
       new SuspicionNotice("node-1~a", Heartbeat.Scope.HUB, Set.of("i-1", "i-2"));
 
   @Test
-  void whatIsWrittenIsRead() throws Exception {
+  void parseReadsWhatToBytesWrites() throws Exception {
     assertThat(SuspicionNotice.isNotice(notice.toBytes()), is(true));
     assertThat(SuspicionNotice.parse(notice.toBytes()), is(notice));
   }
 
   @Test
-  void aHeartbeatIsNoNotice() {
+  void heartbeatIsNotTakenForANotice() {
     byte[] bytes =
         HeartbeatCodec.toBytes(Heartbeats.of("node-1~a").withListUpdate(ListUpdate.NONE));
     assertThat(SuspicionNotice.isNotice(bytes), is(false));
@@ -28,9 +28,9 @@
   }
 
   @Test
-  void aNoticeThatIsCutIsUnreadable() {
+  void truncatedNoticeIsRejected() {
     byte[] bytes = notice.toBytes();
-    byte[] cut = java.util.Arrays.copyOf(bytes, bytes.length - 1);
-    assertThrows(MessagePackException.class, () -> SuspicionNotice.parse(cut));
+    byte[] truncated = java.util.Arrays.copyOf(bytes, bytes.length - 1);
+    assertThrows(MessagePackException.class, () -> SuspicionNotice.parse(truncated));
   }
 }
