--- a/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/PeerMesh.java
@@ -45,7 +45,7 @@
   /** Interval of the heartbeats to a peer. */
   static final int INTERVAL_MS = 200;
 
-  /** Minimum time between heartbeats and urgent ones, which are sent ahead of the interval. */
+  /** Minimum time from the previous heartbeats to urgent ones, which are sent ahead of time. */
   private static final long URGENT_INTERVAL_MS = 50;
 
   /** The same time with hubs, where each urgent heartbeat reaches all processes. */
