--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -184,7 +184,7 @@
     this.relay = makeRelay(loop, calls);
     this.lag = new LoopLag(log, UPKEEP_MS);
     this.failureDetector = new FailureDetector(clockNanos);
-    HubPlan.Place place = new HubPlan.Place(name, settings.zone());
+    HubPlan.ProcessLocation place = new HubPlan.ProcessLocation(name, settings.zone());
     this.mesh = new PeerMesh(loop, clockNanos, log, place, new Teller(), this::learn);
     this.leases = new DomainLeases(store, loop, elapsed::nowNanos, log, name, mesh, fleet::domains);
     this.replicas = makeReplicas(loop);
@@ -265,15 +265,15 @@
     processFollower.setListingDelay(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
     ports.storeEra().addListener(this::noteEra);
     listFollower.readThroughPeersWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
-    leases.setChangeListener(mesh::hurry);
-    replicas.setUrgentChangeListener(mesh::hurry);
+    leases.setChangeListener(mesh::sendSoon);
+    replicas.setUrgentChangeListener(mesh::sendSoon);
     stalls.setSuspicionListener(
         head -> {
-          mesh.suspect(Set.of(head));
+          mesh.sendSuspicion(Set.of(head));
           replicas.hurry();
         });
     mesh.setSuspicionListener(this::learnSuspicions);
-    backpressure.setLimitListener(mesh::hurry);
+    backpressure.setLimitListener(mesh::sendSoon);
     backpressure.setLeavingListener(fleet::noteLeaving);
     quarantine.setRecorder(quarantineRegistry::write);
     fleet.setServiceCheck(configuration::isDeclared);
@@ -331,7 +331,7 @@
     // Members need the list to find a hub. Reading it on, 89 processes make about 800 of 3,100
     // calls to the store on a calm day of 72 s (by the intervals), and read each restart of
     // another.
-    processFollower.suspendReadsWhile(mesh::isSettledMember, PROCESS_REST_MS);
+    processFollower.suspendReadsWhile(mesh::canSkipProcessList, PROCESS_REST_MS);
     processFollower.start();
     processes.announce(announcement);
     leases.start();
@@ -425,7 +425,7 @@
 
   private void learn(Heartbeat heartbeat) {
     configuration.learn(heartbeat);
-    failureDetector.learn(heartbeat);
+    failureDetector.applyHeartbeat(heartbeat);
     ListUpdate told = heartbeat.listUpdate();
     listFollower.noteEra(told.end().era());
     if (told.hasProof() && !mesh.isReader()) {
@@ -434,7 +434,7 @@
     heartbeat.reports().forEach(fleet::updateByPeer);
     quarantine.applyReports(heartbeat.crashReports());
     if (backpressure.applyReports(heartbeat.limitReports())) {
-      mesh.hurryAsHub();
+      mesh.sendSoonIfHub();
     }
     learnSuspicions(heartbeat.suspectedUpstreams());
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -185,7 +185,7 @@
           .due(nowNanos, all, ownedElsewhere, leases.keySet(), peers.names())
           .forEach(this::checkThenClaim);
       claims
-          .toHandOn(nowNanos, grantedDomains(), all.size(), peers.aliveCount())
+          .surplusDomain(nowNanos, grantedDomains(), all.size(), peers.aliveCount())
           .ifPresent(this::handOver);
     }
     notifyIfChanged();
--- a/edge/src/test/java/org/shoreroad/edge/peer/PeerTableTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/peer/PeerTableTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.shoreroad.edge.EventLog;
 import org.shoreroad.edge.sync.StorePosition;
-import org.shoreroad.member.HubPlan.Place;
+import org.shoreroad.member.HubPlan.ProcessLocation;
 
 class PeerTableTest {
   private final EventLog log = new EventLog("t", System::nanoTime, OutputStream.nullOutputStream());
@@ -20,21 +20,21 @@
           new EmbeddedChannel().eventLoop(),
           System::nanoTime,
           log,
-          new Place("box-0~0", "z"),
+          new ProcessLocation("box-0~0", "z"),
           new PeerChannels(log, heartbeat -> {}, notice -> {}));
 
   private void add(String name, long era, long offset) {
-    table.add(new Place(name, "z"), "127.0.0.1:1", StorePosition.of(era, offset));
+    table.add(new ProcessLocation(name, "z"), "127.0.0.1:1", StorePosition.of(era, offset));
   }
 
   @Test
-  void anotherIncarnationOfThisNodeIsNoPeer() {
+  void anotherIncarnationOfThisNodeIsIgnored() {
     add("box-0~9", 1, 9);
     assertThat(table.names(), is(Set.of()));
   }
 
   @Test
-  void anEarlierAnnouncementOfOneEraIsPassedOver() {
+  void earlierAnnouncementInTheSameEraIsIgnored() {
     add("box-1~b", 1, 9);
     add("box-1~a", 1, 4);
     assertThat(table.names(), is(Set.of("box-1~b")));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void anIncarnationAnnouncedInUnknownOrderTakesThePlaceWhenItSends() {
+  void incarnationOfUnknownOrderReplacesTheKnownOneOnceItSends() {
     add("box-1~a", 1, 9);
     add("box-1~b", 2, 4);
     assertThat(table.names(), is(Set.of("box-1~a")));
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aProcessThatIsRemovedIsNoLongerKnown() {
+  void removedProcessIsUnknown() {
     add("box-1~a", 1, 9);
     table.remove("box-1~a");
     assertThat(table.find("box-1~a"), is(nullValue()));
