--- a/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
@@ -6,9 +6,9 @@
 import org.shoreroad.daemon.peer.PeerCodec;
 import org.shoreroad.daemon.peer.PeerMessage;
 import org.shoreroad.member.MembershipMessage;
-import org.shoreroad.member.SwimMembership;
 import org.shoreroad.member.MembershipTiming;
 import org.shoreroad.member.PeerStatus;
+import org.shoreroad.member.SwimMembership;
 
 /**
  * Heartbeats between many processes over a network in memory: bytes, time, and noticing a death.
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
@@ -132,7 +132,8 @@
     return in.readPayload(in.unpackBinaryHeader());
   }
 
-  private static void packHeartbeat(MessageBufferPacker out, MembershipMessage beat) throws IOException {
+  private static void packHeartbeat(MessageBufferPacker out, MembershipMessage beat)
+      throws IOException {
     out.packInt(beat.type().ordinal()).packLong(beat.sequence()).packString(beat.subject());
     out.packLong(beat.appliedOffset()).packArrayHeader(beat.rumors().size());
     for (Rumor rumor : beat.rumors()) {
