--- a/bench/src/main/java/org/shoreroad/bench/FirstFit.java
+++ b/bench/src/main/java/org/shoreroad/bench/FirstFit.java
@@ -26,7 +26,7 @@
     }
     List<PlanStep> steps = new ArrayList<>();
     for (ModelSpec model : state.configuration().all(ModelSpec.class)) {
-      int lacking = model.replicas() - state.standing(model.name()).size();
+      int lacking = model.replicas() - state.standingGenerations(model.name()).size();
       for (List<Box> free : freeByDomain.values()) {
         while (lacking > 0 && free.size() >= model.boxesPerReplica()) {
           List<Box> taken = free.subList(0, model.boxesPerReplica());
--- a/bench/src/main/java/org/shoreroad/bench/PlacementBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementBench.java
@@ -76,7 +76,7 @@
       List<ListedBox> boxes = Fleet.boxes(size, DOMAIN_BOXES + 1);
       ClusterState state = Fleet.declared(boxes, size / 5, 0, 0);
       state = Fleet.take(state, Planner.plan(state, boxes));
-      Generation lost = state.standing().get(0);
+      Generation lost = state.standingGenerations().get(0);
       long offset = state.appliedOffset() + 1;
       ClusterState broken =
           StateMachine.apply(
--- a/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
@@ -87,7 +87,7 @@
       isChanged = false;
       int now = minute;
       long serving =
-          state.standing().stream().filter(g -> readyAt.getOrDefault(g.number(), 0) <= now).count();
+          state.standingGenerations().stream().filter(g -> readyAt.getOrDefault(g.number(), 0) <= now).count();
       long live = boxes.stream().filter(b -> !isDead(b.box(), now)).count();
       downtime += Math.max(0, replicas - serving);
       stranded += live - serving * Fleet.BOXES_PER_REPLICA;
@@ -125,7 +125,7 @@
   }
 
   private void dissolveBroken(int minute) {
-    for (Generation generation : new ArrayList<>(state.standing())) {
+    for (Generation generation : new ArrayList<>(state.standingGenerations())) {
       if (generation.boxes().stream().anyMatch(b -> isDead(b, minute))) {
         apply(
             new LogRecord.ReplicaDissolved(newId(), generation.number(), DissolveReason.BOX_LOST));
--- a/core/src/main/java/org/shoreroad/placement/Planner.java
+++ b/core/src/main/java/org/shoreroad/placement/Planner.java
@@ -72,7 +72,7 @@
   private static Map<String, Integer> planDissolving(
       ClusterState state, Set<String> leaving, List<PlanStep> steps) {
     Map<String, Integer> kept = new TreeMap<>();
-    for (Generation generation : state.standing()) {
+    for (Generation generation : state.standingGenerations()) {
       int count = kept.getOrDefault(generation.model(), 0);
       DissolveReason reason = findReason(state.configuration(), generation, leaving, count);
       if (reason == null) {
@@ -114,7 +114,7 @@
       if (standing.getOrDefault(lacking.name(), 0) >= lacking.replicas()) {
         continue;
       }
-      for (Generation generation : state.standing()) {
+      for (Generation generation : state.standingGenerations()) {
         ModelSpec holder = state.configuration().model(generation.model()).orElse(null);
         boolean isStandby =
             holder != null && standing.getOrDefault(holder.name(), 0) > holder.replicas();
@@ -230,7 +230,7 @@
   public static Set<String> findLacking(ClusterState state) {
     Set<String> lacking = new TreeSet<>();
     for (ModelSpec model : state.configuration().all(ModelSpec.class)) {
-      if (state.standing(model.name()).size() < model.replicas()) {
+      if (state.standingGenerations(model.name()).size() < model.replicas()) {
         lacking.add(model.name());
       }
     }
--- a/core/src/main/java/org/shoreroad/state/ClusterState.java
+++ b/core/src/main/java/org/shoreroad/state/ClusterState.java
@@ -61,13 +61,13 @@
   }
 
   /** Returns the standing generations, by number. */
-  public List<Generation> standing() {
+  public List<Generation> standingGenerations() {
     return generations.values().stream().filter(Generation::isStanding).toList();
   }
 
   /** Returns the standing generations of the model, by number. */
-  public List<Generation> standing(String model) {
-    return standing().stream().filter(g -> g.model().equals(model)).toList();
+  public List<Generation> standingGenerations(String model) {
+    return standingGenerations().stream().filter(g -> g.model().equals(model)).toList();
   }
 
   /** Returns the dissolved generations that still hold a box, by number. */
--- a/core/src/test/java/org/shoreroad/placement/PlannerTest.java
+++ b/core/src/test/java/org/shoreroad/placement/PlannerTest.java
@@ -100,9 +100,9 @@
     List<ListedBox> boxes = boxes(4, 4);
     ClusterState two = state(boxes, 1, 100);
     two = applyAll(two, Planner.plan(two, boxes));
-    assertThat(two.standing("m").size(), is(2));
+    assertThat(two.standingGenerations("m").size(), is(2));
     ClusterState one = state(boxes, 1, 0);
-    assertThat(applyAll(one, Planner.plan(one, boxes)).standing("m").size(), is(1));
+    assertThat(applyAll(one, Planner.plan(one, boxes)).standingGenerations("m").size(), is(1));
     // Another model that lacks a replica gets the boxes of the standby replica.
     ModelSpec other = new ModelSpec("other", "1", 4, 1, true, LABEL, 1, 1);
     ConfigChange change = new ConfigChange(List.of(other), List.of());
--- a/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
+++ b/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
@@ -186,7 +186,7 @@
       }
     }
     // Operators may dissolve a generation at any time.
-    List<Generation> standing = headState.standing();
+    List<Generation> standing = headState.standingGenerations();
     if (!standing.isEmpty() && random.nextInt(120) == 0) {
       long number = standing.get(random.nextInt(standing.size())).number();
       append(new LogRecord.ReplicaDissolved(newId(), number, DissolveReason.NOT_WANTED));
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatExchange.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatExchange.java
@@ -246,7 +246,7 @@
     attempts++;
     long now = System.nanoTime();
     List<String> candidates =
-        parts.control().state().standing(request.chat().model()).stream()
+        parts.control().state().standingGenerations(request.chat().model()).stream()
             .map(Generation::number)
             .filter(number -> parts.owner().owners().owner(number).isPresent())
             .map(String::valueOf)
