--- a/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
@@ -134,7 +134,7 @@
   }
 
   private void release(int minute) {
-    for (Generation generation : new ArrayList<>(state.dissolving())) {
+    for (Generation generation : new ArrayList<>(state.dissolvedGenerations())) {
       for (Box box : generation.boxes()) {
         if (generation.heldBoxes().contains(box.name()) && !isDead(box, minute)) {
           apply(new LogRecord.BoxReleased(newId(), generation.number(), box.name()));
--- a/core/src/main/java/org/shoreroad/state/ClusterState.java
+++ b/core/src/main/java/org/shoreroad/state/ClusterState.java
@@ -71,7 +71,7 @@
   }
 
   /** Returns the dissolved generations that still hold a box, by number. */
-  public List<Generation> dissolving() {
+  public List<Generation> dissolvedGenerations() {
     return generations.values().stream().filter(g -> !g.isStanding()).toList();
   }
 
