--- a/core/src/main/java/org/shoreroad/config/Configuration.java
+++ b/core/src/main/java/org/shoreroad/config/Configuration.java
@@ -74,7 +74,7 @@
   }
 
   /** Returns how many replicas of the model may stand, those on standby counted. */
-  public int maxStanding(ModelSpec model) {
+  public int maxStandingReplicas(ModelSpec model) {
     return model.replicas() + policy().standbyReplicas(model.replicas());
   }
 
--- a/core/src/main/java/org/shoreroad/placement/Planner.java
+++ b/core/src/main/java/org/shoreroad/placement/Planner.java
@@ -88,7 +88,7 @@
       Configuration configuration, Generation generation, Set<String> leaving, int keptBefore) {
     ModelSpec model = configuration.model(generation.model()).orElse(null);
     if (model == null
-        || keptBefore >= configuration.maxStanding(model)
+        || keptBefore >= configuration.maxStandingReplicas(model)
         || generation.boxes().size() != model.boxesPerReplica()) {
       return DissolveReason.NOT_WANTED;
     }
@@ -138,7 +138,7 @@
       ClusterState state, List<ModelSpec> models, Map<String, Integer> standing, FreeBoxes free) {
     List<ModelSpec> lacking =
         models.stream()
-            .filter(m -> standing.getOrDefault(m.name(), 0) < state.configuration().maxStanding(m))
+            .filter(m -> standing.getOrDefault(m.name(), 0) < state.configuration().maxStandingReplicas(m))
             .sorted(
                 Comparator.comparingDouble(
                         (ModelSpec m) -> standing.getOrDefault(m.name(), 0) / (double) m.replicas())
--- a/core/src/main/java/org/shoreroad/state/StateMachine.java
+++ b/core/src/main/java/org/shoreroad/state/StateMachine.java
@@ -146,7 +146,7 @@
     if (formed.boxes().size() != model.boxesPerReplica()) {
       return "a replica needs " + model.boxesPerReplica() + " boxes";
     }
-    if (s.standingGenerations(formed.model()).size() >= s.configuration().maxStanding(model)) {
+    if (s.standingGenerations(formed.model()).size() >= s.configuration().maxStandingReplicas(model)) {
       return "all replicas of " + formed.model() + " stand";
     }
     Set<String> names = new HashSet<>();
