--- a/core/src/main/java/org/shoreroad/config/ModelSpec.java
+++ b/core/src/main/java/org/shoreroad/config/ModelSpec.java
@@ -43,7 +43,7 @@
    * @param labels the labels of the box, not null
    * @return true if every label of the selector is there with its value
    */
-  public boolean isSelecting(Map<String, String> labels) {
+  public boolean matchesLabels(Map<String, String> labels) {
     return boxSelector.entrySet().stream()
         .allMatch(wanted -> wanted.getValue().equals(labels.get(wanted.getKey())));
   }
--- a/core/src/main/java/org/shoreroad/placement/Planner.java
+++ b/core/src/main/java/org/shoreroad/placement/Planner.java
@@ -97,7 +97,7 @@
       if (leaving.contains(box.name()) || labels.isDraining()) {
         return DissolveReason.BOX_LEAVING;
       }
-      if (!model.isSelecting(labels.labels())) {
+      if (!model.matchesLabels(labels.labels())) {
         return DissolveReason.NOT_WANTED;
       }
     }
@@ -131,7 +131,7 @@
       Configuration configuration, Generation generation, ModelSpec model) {
     return generation.boxes().size() >= model.boxesPerReplica()
         && generation.boxes().stream()
-            .allMatch(b -> model.isSelecting(configuration.boxLabels(b.name()).labels()));
+            .allMatch(b -> model.matchesLabels(configuration.boxLabels(b.name()).labels()));
   }
 
   private static Optional<PlanStep.Form> planNext(
@@ -208,7 +208,7 @@
       for (TreeMap<String, Box> domain : byDomain.values()) {
         groups.add(
             domain.values().stream()
-                .filter(box -> model.isSelecting(configuration.boxLabels(box.name()).labels()))
+                .filter(box -> model.matchesLabels(configuration.boxLabels(box.name()).labels()))
                 .toList());
       }
       return model.sameFabricDomain()
--- a/core/src/main/java/org/shoreroad/state/StateMachine.java
+++ b/core/src/main/java/org/shoreroad/state/StateMachine.java
@@ -157,7 +157,7 @@
         return box.name() + " is held by generation " + holder;
       }
       var labels = s.configuration().boxLabels(box.name());
-      if (!model.isSelecting(labels.labels()) || labels.isDraining()) {
+      if (!model.matchesLabels(labels.labels()) || labels.isDraining()) {
         return box.name() + " is not selected for " + formed.model();
       }
       names.add(box.name());
