--- a/core/src/main/java/org/shoreroad/intent/RequestKey.java
+++ b/core/src/main/java/org/shoreroad/intent/RequestKey.java
@@ -74,7 +74,7 @@
    * @return empty if the key is inside; else by how many milliseconds it is too old (positive) or
    *     too far ahead (negative)
    */
-  public OptionalLong findMiss(long nowMs, long windowMs) {
+  public OptionalLong findWindowExcess(long nowMs, long windowMs) {
     long ageMs = nowMs - madeAtMs();
     if (ageMs > windowMs) {
       return OptionalLong.of(ageMs - windowMs);
--- a/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
+++ b/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
@@ -90,9 +90,9 @@
     assertThat(key.madeAtMs(), is(now));
     assertThat(key.key().version(), is(7));
     assertThat(RequestKey.parse("a", key.key().toString()), is(key));
-    assertThat(key.findMiss(now + 1_000, 1_000).isPresent(), is(false));
-    assertThat(key.findMiss(now + 1_001, 1_000).getAsLong(), is(1L));
-    assertThat(key.findMiss(now - RequestKey.MAX_AHEAD_MS - 1, 1_000).isPresent(), is(true));
+    assertThat(key.findWindowExcess(now + 1_000, 1_000).isPresent(), is(false));
+    assertThat(key.findWindowExcess(now + 1_001, 1_000).getAsLong(), is(1L));
+    assertThat(key.findWindowExcess(now - RequestKey.MAX_AHEAD_MS - 1, 1_000).isPresent(), is(true));
     assertThrows(
         IllegalArgumentException.class, () -> RequestKey.parse("a", UUID.randomUUID().toString()));
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/Caller.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/Caller.java
@@ -101,7 +101,7 @@
       throw ShoreroadException.notRun(
           ErrorCode.IDEMPOTENCY_KEY_REQUIRED, KEY_HEADER + " must be a version 7 UUID");
     }
-    if (key.findMiss(nowMs, windowMs).isPresent()) {
+    if (key.findWindowExcess(nowMs, windowMs).isPresent()) {
       throw ShoreroadException.notRun(
           ErrorCode.IDEMPOTENCY_KEY_REQUIRED,
           KEY_HEADER + " was not made within the last " + windowMs + " ms");
