--- a/core/src/main/java/org/shoreroad/intent/RequestKey.java
+++ b/core/src/main/java/org/shoreroad/intent/RequestKey.java
@@ -62,7 +62,7 @@
   }
 
   /** Returns when the key was made by the caller's clock, in milliseconds since 1970. */
-  public long madeAtMs() {
+  public long createdAtMs() {
     return key.getMostSignificantBits() >>> TIME_SHIFT_BITS;
   }
 
@@ -75,7 +75,7 @@
    *     too far ahead (negative)
    */
   public OptionalLong findWindowExcess(long nowMs, long windowMs) {
-    long ageMs = nowMs - madeAtMs();
+    long ageMs = nowMs - createdAtMs();
     if (ageMs > windowMs) {
       return OptionalLong.of(ageMs - windowMs);
     }
--- a/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
+++ b/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
@@ -87,7 +87,7 @@
   void testRequestKey_tellsItsAge() {
     long now = 1_790_000_000_000L;
     RequestKey key = RequestKey.of("a", now, UUID.randomUUID());
-    assertThat(key.madeAtMs(), is(now));
+    assertThat(key.createdAtMs(), is(now));
     assertThat(key.key().version(), is(7));
     assertThat(RequestKey.parse("a", key.key().toString()), is(key));
     assertThat(key.findWindowExcess(now + 1_000, 1_000).isPresent(), is(false));
