--- a/core/src/main/java/org/shoreroad/LoadName.java
+++ b/core/src/main/java/org/shoreroad/LoadName.java
@@ -45,7 +45,7 @@
   }
 
   /** Returns true if the text is the name of a load for the generation. */
-  public static boolean isOf(String text, long generation) {
+  public static boolean isForGeneration(String text, long generation) {
     return text.contains(SEPARATOR + generation + SEPARATOR);
   }
 
--- a/core/src/main/java/org/shoreroad/replica/ReplicaController.java
+++ b/core/src/main/java/org/shoreroad/replica/ReplicaController.java
@@ -241,7 +241,7 @@
       }
       List<BoxReport.Load> own =
           report.loads().stream()
-              .filter(l -> LoadName.isOf(l.name(), generation.number()))
+              .filter(l -> LoadName.isForGeneration(l.name(), generation.number()))
               .toList();
       for (BoxReport.Load load : own) {
         if (mayOrderAgain("unload/" + box.name() + "/" + load.name(), nowNanos)) {
@@ -266,7 +266,7 @@
         .map(BoxEvidence::report)
         .filter(r -> r != null)
         .flatMap(r -> r.loads().stream())
-        .anyMatch(l -> LoadName.isOf(l.name(), generation.number()) && l.runningCount() > 0);
+        .anyMatch(l -> LoadName.isForGeneration(l.name(), generation.number()) && l.runningCount() > 0);
   }
 
   private Optional<ReplicaSnapshot> findSnapshot(Predicate<BoxEvidence> isAccepted) {
@@ -295,7 +295,7 @@
   private @Nullable String ownLoad(BoxReport report) {
     return report.loads().stream()
         .map(BoxReport.Load::name)
-        .filter(name -> LoadName.isOf(name, generation.number()))
+        .filter(name -> LoadName.isForGeneration(name, generation.number()))
         .min(String::compareTo)
         .orElse(null);
   }
--- a/core/src/test/java/org/shoreroad/ErrorCodeTest.java
+++ b/core/src/test/java/org/shoreroad/ErrorCodeTest.java
@@ -35,9 +35,9 @@
   void testLoadName_tellsItsGeneration() {
     LoadName name = new LoadName("m", 118, "n1-4f");
     assertThat(LoadName.parse(name.toString()), is(name));
-    assertThat(LoadName.isOf(name.toString(), 118), is(true));
-    assertThat(LoadName.isOf(name.toString(), 11), is(false));
-    assertThat(LoadName.isOf(name.toString(), 18), is(false));
+    assertThat(LoadName.isForGeneration(name.toString(), 118), is(true));
+    assertThat(LoadName.isForGeneration(name.toString(), 11), is(false));
+    assertThat(LoadName.isForGeneration(name.toString(), 18), is(false));
     assertThrows(IllegalArgumentException.class, () -> LoadName.parse("m"));
     assertThrows(IllegalArgumentException.class, () -> new LoadName("a~b", 1, "x"));
   }
--- a/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
+++ b/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
@@ -328,7 +328,7 @@
 
   private static boolean holds(SimBox box, Generation generation) {
     return box.isAlive
-        && box.loads.stream().anyMatch(load -> LoadName.isOf(load, generation.number()));
+        && box.loads.stream().anyMatch(load -> LoadName.isForGeneration(load, generation.number()));
   }
 
   /** Probes all boxes again and confirms a completion only if the snapshot is unchanged. */
