--- a/core/src/main/java/org/shoreroad/intent/IntentTable.java
+++ b/core/src/main/java/org/shoreroad/intent/IntentTable.java
@@ -64,7 +64,7 @@
   }
 
   /** Forgets the keys whose winning record lies before this offset, which the log has expired. */
-  public void forgetBefore(long earliestOffset) {
+  public void removeBefore(long earliestOffset) {
     while (!order.isEmpty() && order.peekFirst().offset() < earliestOffset) {
       KeyAt oldest = order.removeFirst();
       stateByKey.computeIfPresent(
--- a/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
+++ b/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
@@ -71,7 +71,7 @@
     IntentTable table = new IntentTable();
     table.apply(1, record(IntentRecord.Type.STARTING, "a", "k1"));
     table.apply(2, record(IntentRecord.Type.STARTING, "b", "k2"));
-    table.forgetBefore(2);
+    table.removeBefore(2);
     assertThat(table.find("k1").isPresent(), is(false));
     assertThat(table.find("k2").isPresent(), is(true));
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentKeeper.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentKeeper.java
@@ -178,7 +178,7 @@
       while (table.appliedOffset() < lastOffset) {
         long from = Math.max(1, table.appliedOffset() + 1);
         LogBatch batch = log.read(stream, from, MAX_RECORDS, 0);
-        table.forgetBefore(batch.earliest());
+        table.removeBefore(batch.earliest());
         for (LogBatch.Entry entry : batch.records()) {
           apply(table, entry);
         }
