--- a/core/src/main/java/org/shoreroad/state/CheckpointCodec.java
+++ b/core/src/main/java/org/shoreroad/state/CheckpointCodec.java
@@ -16,8 +16,10 @@
 import org.shoreroad.config.Configuration;
 
 /**
- * The MessagePack form of a whole state: a checkpoint in the log, or a peer's answer to a process
- * that catches up.
+ * Encodes a complete {@link ClusterState} as MessagePack and decodes it.
+ *
+ * <p>The encoding is used for checkpoints in the log and for a peer's answer to a process that
+ * catches up.
  *
  * <p>All methods are thread-safe.
  *
@@ -28,7 +30,7 @@
 
   private CheckpointCodec() {}
 
-  /** Returns the bytes of the state. */
+  /** Returns the encoded state. */
   public static byte[] toBytes(ClusterState state) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(FORMAT).packLong(state.appliedOffset()).packLong(state.configVersion());
@@ -43,9 +45,9 @@
         out.packLong(joined.joinedAt());
         RecordCodec.packNode(out, joined.node());
       }
-      out.packArrayHeader(state.recentOrder().size());
-      for (String id : state.recentOrder().values()) {
-        packOutcome(out, id, state.recentIds().get(id));
+      out.packArrayHeader(state.idByOffset().size());
+      for (String id : state.idByOffset().values()) {
+        packOutcome(out, id, state.outcomeById().get(id));
       }
       return out.toByteArray();
     } catch (IOException e) {
@@ -54,20 +56,20 @@
   }
 
   /**
-   * Returns the state that the bytes hold.
+   * Decodes a state.
    *
-   * @param bytes the bytes, not null
+   * @param bytes the encoded state, not null
    * @return the state
-   * @throws IllegalArgumentException if the bytes hold no state
+   * @throws IllegalArgumentException if the bytes are malformed or of another format version
    */
   public static ClusterState fromBytes(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       if (in.unpackInt() != FORMAT) {
-        throw new IllegalArgumentException("a checkpoint of another format");
+        throw new IllegalArgumentException("unsupported checkpoint format");
       }
       return unpackState(in);
     } catch (IOException | MessagePackException e) {
-      throw new IllegalArgumentException("not a checkpoint", e);
+      throw new IllegalArgumentException("malformed checkpoint", e);
     }
   }
 
@@ -91,14 +93,14 @@
       Node node = RecordCodec.unpackNode(in);
       nodes = nodes.plus(node.id(), new ClusterState.JoinedNode(node, joinedAt));
     }
-    PMap<String, Outcome> recentIds = HashTreePMap.empty();
-    TreePMap<Long, String> recentOrder = TreePMap.empty();
+    PMap<String, Outcome> outcomeById = HashTreePMap.empty();
+    TreePMap<Long, String> idByOffset = TreePMap.empty();
     for (int count = in.unpackArrayHeader(); count > 0; count--) {
       String id = in.unpackString();
       Outcome outcome =
           new Outcome(in.unpackLong(), Outcome.Kind.valueOf(in.unpackString()), in.unpackString());
-      recentIds = recentIds.plus(id, outcome);
-      recentOrder = recentOrder.plus(outcome.offset(), id);
+      outcomeById = outcomeById.plus(id, outcome);
+      idByOffset = idByOffset.plus(outcome.offset(), id);
     }
     return new ClusterState(
         appliedOffset,
@@ -108,8 +110,8 @@
         generations,
         generationByBox,
         nodes,
-        recentIds,
-        recentOrder);
+        outcomeById,
+        idByOffset);
   }
 
   private static void packChangedAt(MessageBufferPacker out, PMap<String, Long> changedAt)
@@ -158,7 +160,7 @@
   private static void packOutcome(MessageBufferPacker out, String id, @Nullable Outcome outcome)
       throws IOException {
     if (outcome == null) {
-      throw new IllegalStateException("no outcome for " + id);
+      throw new IllegalStateException("no outcome for record " + id);
     }
     out.packString(id).packLong(outcome.offset());
     out.packString(outcome.kind().name()).packString(outcome.message());
--- a/core/src/main/java/org/shoreroad/state/ClusterState.java
+++ b/core/src/main/java/org/shoreroad/state/ClusterState.java
@@ -9,19 +9,20 @@
 import org.shoreroad.config.Configuration;
 
 /**
- * What the control stream says up to one offset.
+ * The state after all records of the control stream up to one offset.
  *
- * <p>This class is immutable and thread-safe; states share structure.
+ * <p>This class is immutable and thread-safe. Successive states share structure, so a record copies
+ * only what it changes.
  *
  * @param appliedOffset the offset of the last applied record, or -1 for none
  * @param configVersion the offset of the last accepted configuration change, or 0 for none
- * @param configuration what operators declared
+ * @param configuration the entries that operators declared
  * @param changedAt the offset at which each configuration key was last changed or removed
  * @param generations the generations that still hold a box, by number
  * @param generationByBox the generation that holds each box, by box name
- * @param nodes the processes of the system, by id, with the offset of their joining
- * @param recentIds the ids of recent records with their outcome, by id
- * @param recentOrder the same ids by offset, to forget the oldest
+ * @param nodes the joined processes, by id
+ * @param outcomeById the outcomes of recent records, by record id
+ * @param idByOffset the ids of the same records by offset, so that the oldest is removed first
  * @since 0.1
  */
 public record ClusterState(
@@ -32,8 +33,8 @@
     TreePMap<Long, Generation> generations,
     PMap<String, Long> generationByBox,
     PMap<String, JoinedNode> nodes,
-    PMap<String, Outcome> recentIds,
-    TreePMap<Long, String> recentOrder) {
+    PMap<String, Outcome> outcomeById,
+    TreePMap<Long, String> idByOffset) {
   /** The state before any record. */
   public static final ClusterState EMPTY =
       new ClusterState(
@@ -48,14 +49,14 @@
           TreePMap.empty());
 
   /**
-   * A process and when it joined.
+   * A process and the offset at which it joined.
    *
    * @param node the process
-   * @param joinedAt the offset of the joining
+   * @param joinedAt the offset of its {@link LogRecord.NodeJoined} record
    */
   public record JoinedNode(Node node, long joinedAt) {}
 
-  /** Returns the generation of this number, if it still holds a box. */
+  /** Returns the generation with this number, or empty if it holds no box any more. */
   public Optional<Generation> generation(long number) {
     return Optional.ofNullable(generations.get(number));
   }
@@ -80,8 +81,11 @@
     return generationByBox.get(box);
   }
 
-  /** Returns what became of the record, if it is among the recent ones. */
+  /**
+   * Returns the outcome of the record with this id, or empty if it isn't among the last {@link
+   * StateMachine#RECENT_IDS}.
+   */
   public Optional<Outcome> outcomeOf(String id) {
-    return Optional.ofNullable(recentIds.get(id));
+    return Optional.ofNullable(outcomeById.get(id));
   }
 }
--- a/core/src/main/java/org/shoreroad/state/DissolveReason.java
+++ b/core/src/main/java/org/shoreroad/state/DissolveReason.java
@@ -1,20 +1,20 @@
 package org.shoreroad.state;
 
 /**
- * Why a generation ends.
+ * The reason for dissolving a generation.
  *
  * <p>This enum is immutable and thread-safe.
  *
  * @since 0.1
  */
 public enum DissolveReason {
-  /** A box of it went missing; running requests can't be finished. */
+  /** A box of the replica was lost; running requests can't be finished. */
   BOX_LOST(false),
-  /** A box could not be brought to serve in time. */
+  /** A box didn't become ready to serve in time. */
   LOAD_FAILED(false),
-  /** A box of it is leaving or drained by operators; running requests are finished first. */
+  /** A box is leaving or is drained by operators; running requests are finished first. */
   BOX_LEAVING(true),
-  /** The configuration no longer wants it; running requests are finished first. */
+  /** The configuration no longer requires the replica; running requests are finished first. */
   NOT_WANTED(true);
 
   private final boolean isGraceful;
@@ -23,7 +23,7 @@
     this.isGraceful = isGraceful;
   }
 
-  /** Returns true if running requests are to be finished before the boxes are unloaded. */
+  /** Returns true if running requests must be finished before the boxes are unloaded. */
   public boolean isGraceful() {
     return isGraceful;
   }
--- a/core/src/main/java/org/shoreroad/state/Generation.java
+++ b/core/src/main/java/org/shoreroad/state/Generation.java
@@ -7,16 +7,20 @@
 import org.shoreroad.Box;
 
 /**
- * A replica's generation: fixed boxes under one number, from forming to the last box's release.
+ * One formation of a replica on a fixed set of boxes.
  *
- * <p>A change of boxes makes a new generation. This class is immutable and thread-safe.
+ * <p>A generation is <em>standing</em> from its {@link LogRecord.ReplicaFormed} record to its
+ * {@link LogRecord.ReplicaDissolved} record. A dissolved generation is kept until its last box is
+ * released. A change of boxes needs a new generation.
+ *
+ * <p>This class is immutable and thread-safe.
  *
  * @param number the offset of the record that formed it
- * @param model the model it serves
- * @param boxes the boxes, the first of which takes the requests
- * @param dissolved why it ended, or null while it stands
- * @param fencingNumber what orders for it carry: its number, and once it is dissolved the offset of
- *     the dissolving, which is greater
+ * @param model the name of the model it serves
+ * @param boxes the boxes; requests are sent to the first one
+ * @param dissolved the reason for dissolving it, or null while it is standing
+ * @param fencingNumber the fencing number of orders for it: its number while it is standing, then
+ *     the offset of the record that dissolved it, which is greater
  * @param heldBoxes the names of the boxes not yet released
  * @since 0.1
  */
@@ -39,17 +43,17 @@
     return new Generation(number, model, boxes, null, number, names);
   }
 
-  /** Returns true while the generation is not dissolved. */
+  /** Returns true if the generation is not dissolved. */
   public boolean isStanding() {
     return dissolved == null;
   }
 
-  /** Returns the box that takes the requests. */
+  /** Returns the box that requests are sent to. */
   public Box head() {
     return boxes.get(0);
   }
 
-  /** Returns a copy that has ended for the reason, by the record at this offset. */
+  /** Returns a copy that was dissolved for this reason by the record at this offset. */
   public Generation withDissolved(DissolveReason reason, long offset) {
     return new Generation(number, model, boxes, reason, offset, heldBoxes);
   }
--- a/core/src/main/java/org/shoreroad/state/LogRecord.java
+++ b/core/src/main/java/org/shoreroad/state/LogRecord.java
@@ -5,36 +5,36 @@
 import org.shoreroad.config.ConfigChange;
 
 /**
- * One record of the control stream.
+ * A record of the control stream.
  *
- * <p>Each record carries an id of its own. Where the answer to an append is lost, the writer reads
- * on until it meets the id; a second copy of a record applies to nothing.
+ * <p>Each record has a unique id. If the answer to an append is lost, the writer reads the stream
+ * until it finds the id. A second copy of a record has no effect.
  *
  * <p>Implementations are immutable and thread-safe.
  *
  * @since 0.1
  */
 public sealed interface LogRecord {
-  /** Returns the record's own id. */
+  /** Returns the unique id of the record. */
   String id();
 
   /**
-   * An operator's change of configuration.
+   * A change of the configuration by an operator.
    *
    * @param id the record's id
-   * @param baseVersion the version the operator looked at
-   * @param operator who changed it
-   * @param change what is changed
+   * @param baseVersion the configuration version that the change is based on
+   * @param operator the name of the operator
+   * @param change the entries to change
    */
   record ConfigChanged(String id, long baseVersion, String operator, ConfigChange change)
       implements LogRecord {}
 
   /**
-   * Boxes become a replica; the record's offset is the generation's number.
+   * The forming of a replica; the record's offset becomes the generation's number.
    *
    * @param id the record's id
    * @param model the model to load
-   * @param boxes the boxes, the first of which takes the requests
+   * @param boxes the boxes; requests are sent to the first one
    */
   record ReplicaFormed(String id, String model, List<Box> boxes) implements LogRecord {
     /** Copies the boxes. */
@@ -44,16 +44,16 @@
   }
 
   /**
-   * A generation ends; its boxes stay bound to it until each is released.
+   * The dissolving of a generation, which holds each box until the box is released.
    *
    * @param id the record's id
    * @param generation the generation's number
-   * @param reason why
+   * @param reason the reason for dissolving it
    */
   record ReplicaDissolved(String id, long generation, DissolveReason reason) implements LogRecord {}
 
   /**
-   * A box of a dissolved generation was read back as holding nothing of it.
+   * The release of a box of a dissolved generation, after the box reported no load of it any more.
    *
    * @param id the record's id
    * @param generation the generation's number
@@ -62,19 +62,19 @@
   record BoxReleased(String id, long generation, String box) implements LogRecord {}
 
   /**
-   * A process of the system joins.
+   * The joining of a process.
    *
    * @param id the record's id
-   * @param node what joined
+   * @param node the process
    */
   record NodeJoined(String id, Node node) implements LogRecord {}
 
   /**
-   * A process of the system left or was found dead.
+   * The removal of a process that left or was found dead.
    *
    * @param id the record's id
-   * @param nodeId which one
-   * @param joinedAt the offset of the joining that this ends
+   * @param nodeId the id of the process
+   * @param joinedAt the offset of the {@link NodeJoined} record that this one cancels
    */
   record NodeLeft(String id, String nodeId, long joinedAt) implements LogRecord {}
 }
--- a/core/src/main/java/org/shoreroad/state/Node.java
+++ b/core/src/main/java/org/shoreroad/state/Node.java
@@ -1,12 +1,12 @@
 package org.shoreroad.state;
 
 /**
- * A process of the system as the log knows it.
+ * A process that has joined the system through the log.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param id its id, new at each start
- * @param peerAddress where peers reach it, {@code host:port}
+ * @param id the id, new at each start
+ * @param peerAddress the address for connections from peers, {@code host:port}
  * @param availabilityZone the availability zone it runs in
  * @since 0.1
  */
--- a/core/src/main/java/org/shoreroad/state/Outcome.java
+++ b/core/src/main/java/org/shoreroad/state/Outcome.java
@@ -1,27 +1,27 @@
 package org.shoreroad.state;
 
 /**
- * What became of a record.
+ * The result of applying a record.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param offset the record's offset
- * @param kind whether it took effect
- * @param message why not, or an empty text
+ * @param kind whether the record took effect, and why not
+ * @param message the reason it didn't take effect, or empty
  * @since 0.1
  */
 public record Outcome(long offset, Kind kind, String message) {
   /** The kinds of outcome. */
   public enum Kind {
-    /** It took effect. */
+    /** The record took effect. */
     ACCEPTED,
-    /** It was made on a base that others changed since. */
+    /** The record's base version is unknown, or its keys were changed after that version. */
     STALE_BASE,
-    /** It breaks a rule. */
+    /** The changed configuration breaks a rule. */
     INVALID,
-    /** It contradicts an earlier record, or says what is so already. */
+    /** The record contradicts an earlier record or repeats its effect. */
     CONFLICT,
-    /** The same record stands earlier in the stream. */
+    /** A record with the same id occurs earlier in the stream. */
     REPEATED
   }
 
--- a/core/src/main/java/org/shoreroad/state/RecordCodec.java
+++ b/core/src/main/java/org/shoreroad/state/RecordCodec.java
@@ -13,10 +13,10 @@
 import org.shoreroad.config.ConfigJson;
 
 /**
- * The MessagePack form of control records.
+ * Encodes the records of the control stream as MessagePack and decodes them.
  *
- * <p>A record is its type number, its id and its fields in the order of the Java record. All
- * methods are thread-safe.
+ * <p>An encoded record consists of a type number, the id and the fields in the order of the Java
+ * record. All methods are thread-safe.
  *
  * @since 0.1
  */
@@ -30,7 +30,7 @@
 
   private RecordCodec() {}
 
-  /** Returns the bytes of the record. */
+  /** Returns the encoded record. */
   public static byte[] toBytes(LogRecord record) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       if (record instanceof LogRecord.ConfigChanged changed) {
@@ -60,11 +60,11 @@
   }
 
   /**
-   * Returns the record that the bytes hold.
+   * Decodes a record.
    *
-   * @param bytes the bytes, not null
+   * @param bytes the encoded record, not null
    * @return the record
-   * @throws IllegalArgumentException if the bytes hold no record
+   * @throws IllegalArgumentException if the bytes are malformed or the type is unknown
    */
   public static LogRecord fromBytes(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
@@ -80,10 +80,10 @@
         case BOX_RELEASED -> new LogRecord.BoxReleased(id, in.unpackLong(), in.unpackString());
         case NODE_JOINED -> new LogRecord.NodeJoined(id, unpackNode(in));
         case NODE_LEFT -> new LogRecord.NodeLeft(id, in.unpackString(), in.unpackLong());
-        default -> throw new IllegalArgumentException("no such type of record: " + type);
+        default -> throw new IllegalArgumentException("unknown record type: " + type);
       };
     } catch (IOException | MessagePackException e) {
-      throw new IllegalArgumentException("not a record", e);
+      throw new IllegalArgumentException("malformed record", e);
     }
   }
 
--- a/core/src/main/java/org/shoreroad/state/StateMachine.java
+++ b/core/src/main/java/org/shoreroad/state/StateMachine.java
@@ -14,37 +14,38 @@
 import org.shoreroad.config.ModelSpec;
 
 /**
- * The function that every process applies to every record of the control stream.
+ * Applies the records of the control stream to a {@link ClusterState}.
  *
- * <p>It is pure and deterministic: it reads no clock, no random numbers and nothing but its
- * arguments. A record that breaks a rule or contradicts an earlier one changes nothing but the
- * applied offset and the memory of recent ids.
+ * <p>Every process applies the same records, so the methods are pure and deterministic: they depend
+ * on nothing but their arguments, neither on a clock nor on random numbers. A record that breaks a
+ * rule or contradicts an earlier one changes only the applied offset and the outcomes of recent
+ * records.
  *
  * <p>All methods are thread-safe.
  *
  * @since 0.1
  */
 public final class StateMachine {
-  /** How many record ids are remembered to find repeats. */
+  /** The number of recent records whose ids are kept to detect repeated records. */
   public static final int RECENT_IDS = 4096;
 
   private StateMachine() {}
 
   /**
-   * The state after a record, and what became of the record.
+   * The state after a record, and the outcome of the record.
    *
-   * @param state the state after it
-   * @param outcome what became of it
+   * @param state the state after the record
+   * @param outcome the outcome of the record
    */
   public record Applied(ClusterState state, Outcome outcome) {}
 
   /**
    * Applies one record.
    *
-   * @param state the state before it, not null
+   * @param state the state before the record, not null
    * @param offset the record's offset, greater than the state's
    * @param record the record, not null
-   * @return the state after it and the outcome
+   * @return the state after the record and its outcome
    * @throws IllegalArgumentException if the offset was applied already
    */
   public static Applied apply(ClusterState state, long offset, LogRecord record) {
@@ -52,26 +53,25 @@
       throw new IllegalArgumentException(
           "offset " + offset + " was applied; the state is at " + state.appliedOffset());
     }
-    // A second copy of a record applies to nothing.
+    // A second copy of a record has no effect.
     Optional<Outcome> earlier = state.outcomeOf(record.id());
     if (earlier.isPresent()) {
       Outcome repeated =
           new Outcome(offset, Outcome.Kind.REPEATED, "first at " + earlier.get().offset());
       return new Applied(new Draft(state).withOffset(offset).toState(), repeated);
     }
-    // The record's own rules.
     Draft draft = new Draft(state).withOffset(offset);
     Outcome outcome = applyNew(draft, state, offset, record);
     ClusterState after = outcome.isAccepted() ? draft.toState() : state;
-    return new Applied(remember(after, offset, record.id(), outcome), outcome);
+    return new Applied(recordOutcome(after, offset, record.id(), outcome), outcome);
   }
 
   /**
-   * Passes over a record that can't be read, so that all processes go on alike.
+   * Skips a record that can't be decoded. Every process skips it, so their states stay equal.
    *
-   * @param state the state before it, not null
+   * @param state the state before the record, not null
    * @param offset the record's offset
-   * @return the state after it
+   * @return the state after the record
    */
   public static ClusterState skip(ClusterState state, long offset) {
     return new Draft(state).withOffset(offset).toState();
@@ -96,7 +96,7 @@
 
   private static Outcome applyConfig(
       Draft draft, ClusterState s, long offset, LogRecord.ConfigChanged changed) {
-    // The later of two operators who touch the same key loses, whole.
+    // If two changes have a key in common, the later one is rejected as a whole.
     for (String key : changed.change().keys()) {
       long changedAt = s.changedAt().getOrDefault(key, 0L);
       if (changedAt > changed.baseVersion()) {
@@ -110,7 +110,7 @@
       return new Outcome(
           offset, Outcome.Kind.STALE_BASE, "no version " + changed.baseVersion() + " exists");
     }
-    // Two changes that are each right may be wrong together.
+    // Two changes that are each valid may break a rule together.
     Configuration after = changed.change().applyTo(s.configuration());
     List<ConfigCheck.Finding> findings = ConfigCheck.findByChange(changed.change(), after);
     if (!findings.isEmpty()) {
@@ -146,7 +146,8 @@
     if (formed.boxes().size() != model.boxesPerReplica()) {
       return "a replica needs " + model.boxesPerReplica() + " boxes";
     }
-    if (s.standingGenerations(formed.model()).size() >= s.configuration().maxStandingReplicas(model)) {
+    if (s.standingGenerations(formed.model()).size()
+        >= s.configuration().maxStandingReplicas(model)) {
       return "all replicas of " + formed.model() + " stand";
     }
     Set<String> names = new HashSet<>();
@@ -208,21 +209,21 @@
     return Outcome.accepted(offset);
   }
 
-  private static ClusterState remember(
+  private static ClusterState recordOutcome(
       ClusterState state, long offset, String id, Outcome outcome) {
     Draft draft = new Draft(state).withOffset(offset);
-    draft.recentIds = state.recentIds().plus(id, outcome);
-    draft.recentOrder = state.recentOrder().plus(offset, id);
-    while (draft.recentOrder.size() > RECENT_IDS) {
-      long oldest = draft.recentOrder.firstKey();
-      draft.recentIds =
-          draft.recentIds.minus(Objects.requireNonNull(draft.recentOrder.get(oldest)));
-      draft.recentOrder = draft.recentOrder.minus(oldest);
+    draft.outcomeById = state.outcomeById().plus(id, outcome);
+    draft.idByOffset = state.idByOffset().plus(offset, id);
+    while (draft.idByOffset.size() > RECENT_IDS) {
+      long oldest = draft.idByOffset.firstKey();
+      draft.outcomeById =
+          draft.outcomeById.minus(Objects.requireNonNull(draft.idByOffset.get(oldest)));
+      draft.idByOffset = draft.idByOffset.minus(oldest);
     }
     return draft.toState();
   }
 
-  /** The parts of a state while a record is applied. */
+  /** A mutable copy of a state, changed while a record is applied. */
   private static final class Draft {
     private long appliedOffset;
     private long configVersion;
@@ -231,8 +232,8 @@
     private TreePMap<Long, Generation> generations;
     private PMap<String, Long> generationByBox;
     private PMap<String, ClusterState.JoinedNode> nodes;
-    private PMap<String, Outcome> recentIds;
-    private TreePMap<Long, String> recentOrder;
+    private PMap<String, Outcome> outcomeById;
+    private TreePMap<Long, String> idByOffset;
 
     Draft(ClusterState s) {
       appliedOffset = s.appliedOffset();
@@ -242,8 +243,8 @@
       generations = s.generations();
       generationByBox = s.generationByBox();
       nodes = s.nodes();
-      recentIds = s.recentIds();
-      recentOrder = s.recentOrder();
+      outcomeById = s.outcomeById();
+      idByOffset = s.idByOffset();
     }
 
     Draft withOffset(long offset) {
@@ -260,8 +261,8 @@
           generations,
           generationByBox,
           nodes,
-          recentIds,
-          recentOrder);
+          outcomeById,
+          idByOffset);
     }
   }
 }
--- a/core/src/test/java/org/shoreroad/state/StateMachineTest.java
+++ b/core/src/test/java/org/shoreroad/state/StateMachineTest.java
@@ -20,7 +20,10 @@
 import org.shoreroad.config.ModelSpec;
 import org.shoreroad.config.RouteSpec;
 
-/** The log decides alike everywhere; a box has one holder; the configuration never goes back. */
+/**
+ * Tests that equal records give equal states, that at most one generation holds a box, and that the
+ * configuration version never decreases.
+ */
 class StateMachineTest {
   private static final ModelSpec MODEL = new ModelSpec("m", "1", 2, 9, true, Map.of(), 1, 1);
 
@@ -37,7 +40,7 @@
     return new LogRecord.ConfigChanged(id, base, "op", new ConfigChange(List.of(kind), List.of()));
   }
 
-  /** Records as racing writers would append them: stale bases, contradictions and repeats. */
+  /** Returns records as concurrent writers append them: stale bases, conflicts and repeats. */
   private static List<LogRecord> randomRecords(long seed) {
     Random random = new Random(seed);
     List<LogRecord> records = new ArrayList<>();
@@ -61,15 +64,15 @@
   }
 
   private static ClusterState applyAll(ClusterState state, List<LogRecord> records, int from) {
-    ClusterState now = state;
+    ClusterState current = state;
     for (int i = from; i < records.size(); i++) {
-      now = StateMachine.apply(now, i + 1L, records.get(i)).state();
+      current = StateMachine.apply(current, i + 1L, records.get(i)).state();
     }
-    return now;
+    return current;
   }
 
   @Property(tries = 300, seed = "7")
-  void testApply_boxHasOneHolder(@ForAll long seed) {
+  void testApply_boxIsHeldByOneGeneration(@ForAll long seed) {
     ClusterState state = ClusterState.EMPTY;
     List<LogRecord> records = randomRecords(seed);
     for (int i = 0; i < records.size(); i++) {
@@ -85,7 +88,7 @@
   }
 
   @Property(tries = 300, seed = "7")
-  void testApply_configurationNeverGoesBack(@ForAll long seed) {
+  void testApply_configurationChangesOnlyWithHigherVersion(@ForAll long seed) {
     ClusterState state = ClusterState.EMPTY;
     List<LogRecord> records = randomRecords(seed);
     for (int i = 0; i < records.size(); i++) {
@@ -99,7 +102,7 @@
   }
 
   @Property(tries = 200, seed = "7")
-  void testApply_fromCheckpointAndTailIsTheSame(@ForAll long seed) {
+  void testApply_checkpointAndTailGiveSameState(@ForAll long seed) {
     List<LogRecord> records = randomRecords(seed);
     int cut = new Random(seed).nextInt(records.size());
     ClusterState half = applyAll(ClusterState.EMPTY, records.subList(0, cut), 0);
@@ -109,14 +112,14 @@
   }
 
   @Property(tries = 200, seed = "7")
-  void testCodec_givesTheRecordBack(@ForAll long seed) {
+  void testCodec_recordRoundTrips(@ForAll long seed) {
     for (LogRecord record : randomRecords(seed)) {
       assertThat(RecordCodec.fromBytes(RecordCodec.toBytes(record)), is(record));
     }
   }
 
   @Test
-  void testApply_laterOperatorOnSameKeyLosesWhole() {
+  void testApply_laterChangeOfSameKeyIsRefused() {
     ClusterState state = StateMachine.apply(ClusterState.EMPTY, 1, kind("a", 0, "k", 1)).state();
     state = StateMachine.apply(state, 2, kind("b", 1, "k", 2)).state();
     StateMachine.Applied late = StateMachine.apply(state, 3, kind("c", 1, "k", 3));
@@ -126,14 +129,14 @@
   }
 
   @Test
-  void testApply_operatorsOnDifferentKeysBothWin() {
+  void testApply_changesOfDifferentKeysAreBothAccepted() {
     ClusterState state = StateMachine.apply(ClusterState.EMPTY, 1, kind("a", 0, "k", 1)).state();
     state = StateMachine.apply(state, 2, kind("b", 1, "x", 2)).state();
     assertThat(StateMachine.apply(state, 3, kind("c", 1, "y", 3)).outcome().isAccepted(), is(true));
   }
 
   @Test
-  void testApply_changesThatAreWrongTogetherAreRefused() {
+  void testApply_changeInvalidWithEarlierChangeIsRefused() {
     ClusterState state = StateMachine.apply(ClusterState.EMPTY, 1, model("a", 0)).state();
     RouteSpec route = new RouteSpec("r", List.of("*"), List.of("*"), "model/m");
     LogRecord remove =
@@ -145,7 +148,7 @@
   }
 
   @Test
-  void testApply_repeatedRecordAppliesToNothing() {
+  void testApply_repeatedRecordHasNoEffect() {
     ClusterState state = StateMachine.apply(ClusterState.EMPTY, 1, model("a", 0)).state();
     StateMachine.Applied again = StateMachine.apply(state, 2, model("a", 0));
     assertThat(again.outcome().kind(), is(Outcome.Kind.REPEATED));
@@ -153,7 +156,7 @@
   }
 
   @Test
-  void testApply_offsetTwiceIsRefused() {
+  void testApply_repeatedOffsetIsRefused() {
     ClusterState state = StateMachine.apply(ClusterState.EMPTY, 1, model("a", 0)).state();
     assertThrows(IllegalArgumentException.class, () -> StateMachine.apply(state, 1, model("b", 0)));
   }
