--- a/core/src/main/java/org/shoreroad/intent/IntentRecord.java
+++ b/core/src/main/java/org/shoreroad/intent/IntentRecord.java
@@ -7,27 +7,27 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * One record of an intent stream.
+ * A record of an intent stream.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param type what it says
- * @param intentId the id of the intent it says it of, unique for ever
- * @param keyHash what stands for account and key
+ * @param type the type
+ * @param intentId the id of the intent, never reused
+ * @param keyHash the hash of account and key, see {@link RequestKey#toHash}
  * @since 0.1
  */
 public record IntentRecord(Type type, String intentId, String keyHash) {
-  /** What a record says. */
+  /** The types of record. The ordinals are stored in the log. */
   public enum Type {
-    /** Somebody is about to run the key's request. */
+    /** A process is about to run the request. */
     STARTING,
-    /** It was not run, and under this intent never will be. */
+    /** The request was not run, and never will be under this intent. */
     WITHDRAWN,
-    /** It ran to its end. */
+    /** The request ran to its end. */
     FINISHED
   }
 
-  /** Returns the bytes of the record. */
+  /** Returns the encoded record. */
   public byte[] toBytes() {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(type.ordinal()).packString(intentId).packString(keyHash);
@@ -38,21 +38,21 @@
   }
 
   /**
-   * Returns the record that the bytes hold.
+   * Decodes a record.
    *
-   * @param bytes the bytes, not null
+   * @param bytes the encoded record, not null
    * @return the record
-   * @throws IllegalArgumentException if the bytes hold no record
+   * @throws IllegalArgumentException if the bytes are malformed or the type is unknown
    */
   public static IntentRecord fromBytes(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       int ordinal = in.unpackInt();
       if (ordinal < 0 || ordinal >= Type.values().length) {
-        throw new IllegalArgumentException("no such type of intent record: " + ordinal);
+        throw new IllegalArgumentException("unknown intent record type: " + ordinal);
       }
       return new IntentRecord(Type.values()[ordinal], in.unpackString(), in.unpackString());
     } catch (IOException | MessagePackException e) {
-      throw new IllegalArgumentException("not an intent record", e);
+      throw new IllegalArgumentException("malformed intent record", e);
     }
   }
 }
--- a/core/src/main/java/org/shoreroad/intent/IntentTable.java
+++ b/core/src/main/java/org/shoreroad/intent/IntentTable.java
@@ -6,28 +6,28 @@
 import java.util.Optional;
 
 /**
- * What one intent stream says, up to one offset.
+ * The state of every key after all records of one intent stream up to one offset.
  *
- * <p>The rule: the first {@link IntentRecord.Type#STARTING} record of a key wins, until its own
- * {@link IntentRecord.Type#WITHDRAWN} record; then the next one wins. Every process that reads the
- * stream from its earliest record finds the same winner, so any number of processes may append. A
- * process may run a request only after it has met its own intent here as the winner.
+ * <p>The first {@link IntentRecord.Type#STARTING} record of a key wins. If that intent is {@link
+ * IntentRecord.Type#WITHDRAWN}, the next STARTING record wins. Every process that reads the stream
+ * from its earliest record finds the same winner, so any number of processes may append. A process
+ * may run a request only after it has read its own intent back and found it to be the winner.
  *
- * <p>Not thread-safe: one thread owns a table.
+ * <p>Not thread-safe: a table must be confined to one thread.
  *
  * @since 0.1
  */
 public final class IntentTable {
   private final Map<String, KeyState> stateByKey = new HashMap<>();
-  private final ArrayDeque<KeyAt> order = new ArrayDeque<>();
+  private final ArrayDeque<KeyOffset> offsets = new ArrayDeque<>();
   private long appliedOffset = -1;
 
-  private record KeyAt(long offset, String keyHash) {}
+  private record KeyOffset(long offset, String keyHash) {}
 
   /**
    * Applies one record.
    *
-   * @param offset its offset; one that was applied already is passed over
+   * @param offset the record's offset; an offset that was applied already is ignored
    * @param record the record, not null
    */
   public void apply(long offset, IntentRecord record) {
@@ -40,7 +40,7 @@
       if (state == null || state.status() == KeyState.Status.WITHDRAWN) {
         KeyState started = new KeyState(record.intentId(), KeyState.Status.STARTED, offset);
         stateByKey.put(record.keyHash(), started);
-        order.addLast(new KeyAt(offset, record.keyHash()));
+        offsets.addLast(new KeyOffset(offset, record.keyHash()));
       }
     } else if (state != null && state.intentId().equals(record.intentId())) {
       applyEnd(record, state);
@@ -58,31 +58,31 @@
     stateByKey.put(record.keyHash(), state.withStatus(status));
   }
 
-  /** Notes that everything up to this offset was read, whether it held records or not. */
+  /** Marks the stream as read up to this offset, whether or not it contained records there. */
   public void advanceTo(long offset) {
     appliedOffset = Math.max(appliedOffset, offset);
   }
 
-  /** Forgets the keys whose winning record lies before this offset, which the log has expired. */
+  /** Removes the keys whose winning record is before the earliest offset that the log retains. */
   public void removeBefore(long earliestOffset) {
-    while (!order.isEmpty() && order.peekFirst().offset() < earliestOffset) {
-      KeyAt oldest = order.removeFirst();
+    while (!offsets.isEmpty() && offsets.peekFirst().offset() < earliestOffset) {
+      KeyOffset oldest = offsets.removeFirst();
       stateByKey.computeIfPresent(
           oldest.keyHash(), (k, s) -> s.offset() == oldest.offset() ? null : s);
     }
   }
 
-  /** Returns what the stream says of the key. */
+  /** Returns the state of the key, or empty if the stream holds no intent for it. */
   public Optional<KeyState> find(String keyHash) {
     return Optional.ofNullable(stateByKey.get(keyHash));
   }
 
-  /** Returns the offset up to which the stream was applied, or -1 for none. */
+  /** Returns the offset up to which the stream was applied, or -1 if nothing was. */
   public long appliedOffset() {
     return appliedOffset;
   }
 
-  /** Returns how many keys are held. */
+  /** Returns the number of keys in the table. */
   public int size() {
     return stateByKey.size();
   }
--- a/core/src/main/java/org/shoreroad/intent/KeyState.java
+++ b/core/src/main/java/org/shoreroad/intent/KeyState.java
@@ -1,19 +1,19 @@
 package org.shoreroad.intent;
 
 /**
- * What an intent stream says of one key.
+ * The state of one key in an intent stream.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param intentId the intent that won
- * @param status how far it came
- * @param offset the offset of the intent's record
+ * @param intentId the id of the winning intent
+ * @param status the status of that intent
+ * @param offset the offset of the {@link IntentRecord.Type#STARTING} record
  * @since 0.1
  */
 public record KeyState(String intentId, Status status, long offset) {
-  /** How far an intent came. */
+  /** The status of an intent. */
   public enum Status {
-    /** The request may be running, or have run. */
+    /** The request may be running or may have run. */
     STARTED,
     /** The request was not run; the next intent wins. */
     WITHDRAWN,
--- a/core/src/main/java/org/shoreroad/intent/RequestKey.java
+++ b/core/src/main/java/org/shoreroad/intent/RequestKey.java
@@ -7,12 +7,12 @@
 import java.util.UUID;
 
 /**
- * A caller's key for a request that may not be repeated: a version 7 UUID, which carries the time
- * it was made.
+ * A caller's idempotency key for a request that must not run twice: a version 7 UUID, which
+ * contains its creation time.
  *
- * <p>The log keeps records for a limited time, so a key must tell its own age: one older than the
- * window is refused, instead of being taken for new after its record has gone. The caller's clock
- * need not be right, since a key's time never changes and only the system's own clocks judge it.
+ * <p>The log retains records for a limited time. A key older than the window is refused, because
+ * after its record has expired it couldn't be told from a new key. The caller's clock need not be
+ * right: the time in a key never changes and is compared only with the system's own clocks.
  *
  * <p>This class is immutable and thread-safe.
  *
@@ -21,13 +21,13 @@
  * @since 0.1
  */
 public record RequestKey(String account, UUID key) {
-  /** How far ahead of the system's clock a key may be, in milliseconds. */
+  /** The maximum time by which a key may be ahead of the system's clock, in milliseconds. */
   public static final long MAX_AHEAD_MS = 300_000;
 
   private static final int VERSION_WITH_TIME = 7;
   private static final int TIME_SHIFT_BITS = 16;
 
-  /** Checks that no part is missing. */
+  /** Checks that no component is null. */
   public RequestKey {
     Objects.requireNonNull(account, "account");
     Objects.requireNonNull(key, "key");
@@ -50,28 +50,28 @@
   }
 
   /**
-   * Returns the key that a caller would make at this time.
+   * Creates a key as a caller does.
    *
-   * @param account the client account
-   * @param nowMs milliseconds since 1970
-   * @param random 64 random bits and more, of which 74 are used
+   * @param account the client account, not null
+   * @param nowMs the creation time, in milliseconds since 1970
+   * @param random a random UUID, of which 74 bits are used
    */
   public static RequestKey of(String account, long nowMs, UUID random) {
     long high = (nowMs << TIME_SHIFT_BITS) | 0x7000L | (random.getMostSignificantBits() & 0x0fffL);
     return new RequestKey(account, new UUID(high, random.getLeastSignificantBits()));
   }
 
-  /** Returns when the key was made by the caller's clock, in milliseconds since 1970. */
+  /** Returns the creation time by the caller's clock, in milliseconds since 1970. */
   public long createdAtMs() {
     return key.getMostSignificantBits() >>> TIME_SHIFT_BITS;
   }
 
   /**
-   * Returns how far the key is outside the window.
+   * Returns by how much the key is outside the window.
    *
-   * @param nowMs the system's clock, in milliseconds since 1970
-   * @param windowMs how old a key may be, in milliseconds
-   * @return empty if the key is inside; else by how many milliseconds it is too old (positive) or
+   * @param nowMs the current time by the system's clock, in milliseconds since 1970
+   * @param windowMs the maximum age of a key, in milliseconds
+   * @return empty if the key is inside; else the milliseconds by which it is too old (positive) or
    *     too far ahead (negative)
    */
   public OptionalLong findWindowExcess(long nowMs, long windowMs) {
@@ -82,13 +82,13 @@
     return ageMs < -MAX_AHEAD_MS ? OptionalLong.of(ageMs + MAX_AHEAD_MS) : OptionalLong.empty();
   }
 
-  /** Returns the shard, of so many, that decides on this key. */
+  /** Returns the shard that holds this key's intents, from 0 to {@code shards - 1}. */
   public int toShard(int shards) {
     return Hashing.consistentHash(
         Hashing.murmur3_128().hashString(toHash(), StandardCharsets.UTF_8), shards);
   }
 
-  /** Returns what stands for account and key in the log: 128 bits in hexadecimal. */
+  /** Returns the hash of account and key that the log stores: 128 bits in hexadecimal. */
   public String toHash() {
     return Hashing.sha256()
         .hashString(account + "/" + key, StandardCharsets.UTF_8)
--- a/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
+++ b/core/src/test/java/org/shoreroad/intent/IntentTableTest.java
@@ -16,7 +16,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The first intent of a key wins, for every reader; nobody else does until it is withdrawn. */
+/**
+ * Tests that all readers find the same winning intent for a key, and that another intent can win
+ * only after the first one is withdrawn.
+ */
 class IntentTableTest {
   private static IntentRecord record(IntentRecord.Type type, String intent, String key) {
     return new IntentRecord(type, intent, key);
@@ -56,7 +59,7 @@
   }
 
   @Test
-  void testApply_finishedKeyIsNeverWonAgain() {
+  void testApply_noIntentWinsAfterFinished() {
     IntentTable table = new IntentTable();
     table.apply(1, record(IntentRecord.Type.STARTING, "a", "k"));
     table.apply(2, record(IntentRecord.Type.FINISHED, "a", "k"));
@@ -67,7 +70,7 @@
   }
 
   @Test
-  void testForgetBefore_forgetsOnlyTheExpired() {
+  void testRemoveBefore_removesOnlyExpiredKeys() {
     IntentTable table = new IntentTable();
     table.apply(1, record(IntentRecord.Type.STARTING, "a", "k1"));
     table.apply(2, record(IntentRecord.Type.STARTING, "b", "k2"));
@@ -77,14 +80,14 @@
   }
 
   @Test
-  void testCodec_givesTheRecordBack() {
+  void testCodec_recordRoundTrips() {
     IntentRecord record = record(IntentRecord.Type.WITHDRAWN, "i", "k");
     assertThat(IntentRecord.fromBytes(record.toBytes()), is(record));
     assertThrows(IllegalArgumentException.class, () -> IntentRecord.fromBytes(new byte[] {77}));
   }
 
   @Test
-  void testRequestKey_tellsItsAge() {
+  void testRequestKey_checksCreationTimeAgainstWindow() {
     long now = 1_790_000_000_000L;
     RequestKey key = RequestKey.of("a", now, UUID.randomUUID());
     assertThat(key.createdAtMs(), is(now));
@@ -92,13 +95,14 @@
     assertThat(RequestKey.parse("a", key.key().toString()), is(key));
     assertThat(key.findWindowExcess(now + 1_000, 1_000).isPresent(), is(false));
     assertThat(key.findWindowExcess(now + 1_001, 1_000).getAsLong(), is(1L));
-    assertThat(key.findWindowExcess(now - RequestKey.MAX_AHEAD_MS - 1, 1_000).isPresent(), is(true));
+    assertThat(
+        key.findWindowExcess(now - RequestKey.MAX_AHEAD_MS - 1, 1_000).isPresent(), is(true));
     assertThrows(
         IllegalArgumentException.class, () -> RequestKey.parse("a", UUID.randomUUID().toString()));
   }
 
   @Test
-  void testRequestKey_accountsAreApart() {
+  void testRequestKey_accountsHaveDifferentHashes() {
     UUID key = RequestKey.of("a", 1, UUID.randomUUID()).key();
     boolean isSame = new RequestKey("a", key).toHash().equals(new RequestKey("b", key).toHash());
     assertThat(isSame, is(false));
