--- a/core/src/main/java/org/shoreroad/config/ConfigChange.java
+++ b/core/src/main/java/org/shoreroad/config/ConfigChange.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 /**
- * What turns one configuration into another.
+ * The difference between two configurations.
  *
  * <p>This class is immutable and thread-safe.
  *
@@ -22,10 +22,10 @@
   }
 
   /**
-   * Returns the change that leads from one configuration to another.
+   * Returns the change that turns one configuration into another.
    *
-   * @param from where to start, not null
-   * @param to where to end, not null
+   * @param from the old configuration, not null
+   * @param to the new configuration, not null
    * @return the change, ordered by key
    */
   public static ConfigChange between(Configuration from, Configuration to) {
@@ -44,19 +44,19 @@
     return new ConfigChange(upserts, removals);
   }
 
-  /** Returns true if there is nothing to change. */
+  /** Returns true if the change has neither upserts nor removals. */
   public boolean isEmpty() {
     return upserts.isEmpty() && removals.isEmpty();
   }
 
-  /** Returns the keys of all entries that this change touches. */
+  /** Returns the keys of all entries that this change adds, replaces or removes. */
   public Set<String> keys() {
     Set<String> keys = new TreeSet<>(removals);
     upserts.forEach(entry -> keys.add(entry.key()));
     return keys;
   }
 
-  /** Returns the configuration with this change made. */
+  /** Returns a copy of the configuration with this change applied. */
   public Configuration applyTo(Configuration configuration) {
     Configuration result = configuration;
     for (ConfigEntry entry : upserts) {
--- a/core/src/main/java/org/shoreroad/config/ConfigCheck.java
+++ b/core/src/main/java/org/shoreroad/config/ConfigCheck.java
@@ -5,10 +5,11 @@
 import java.util.regex.Pattern;
 
 /**
- * The rules that a configuration as a whole must keep.
+ * Validates a complete configuration.
  *
- * <p>The file parser and the log's state machine call the same rules, so that two changes that are
- * each right but wrong together are refused by every process alike. All methods are pure.
+ * <p>The file parser and the log's state machine apply the same rules. Two changes that are each
+ * valid but break a rule together are therefore refused by every process alike. All methods are
+ * pure and thread-safe.
  *
  * @since 0.1
  */
@@ -22,133 +23,134 @@
   private ConfigCheck() {}
 
   /**
-   * A rule that an entry breaks.
+   * A violation of a rule by an entry.
    *
    * @param key the entry's key
-   * @param message what is wrong
-   * @param hint what to write instead
+   * @param message the description of the violation
+   * @param hint advice on how to correct it
    */
   public record Finding(String key, String message, String hint) {}
 
   /**
-   * Returns everything that is wrong with the configuration.
+   * Checks all entries.
    *
    * @param configuration the configuration, not null
-   * @return the findings, empty if it is right
+   * @return the findings, empty if the configuration is valid
    */
   public static List<Finding> findAll(Configuration configuration) {
     List<Finding> findings = new ArrayList<>();
     for (ConfigEntry entry : configuration.entries().values()) {
-      findings.addAll(findIn(entry, configuration));
+      findings.addAll(checkEntry(entry, configuration));
     }
     return findings;
   }
 
   /**
-   * Returns everything that a change makes wrong, given that the configuration was right before.
+   * Checks the entries that a change can make invalid, given that the configuration was valid
+   * before.
    *
-   * <p>Only routes point to other entries, so the touched entries and all routes are looked at; the
+   * <p>Only routes refer to other entries, so the changed entries and all routes are checked. The
    * cost does not grow with the number of boxes.
    *
    * @param change the change, not null
-   * @param after the configuration with the change made, not null
-   * @return the findings, empty if it is right
+   * @param after the configuration with the change applied, not null
+   * @return the findings, empty if the configuration is valid
    */
   public static List<Finding> findByChange(ConfigChange change, Configuration after) {
     List<Finding> findings = new ArrayList<>();
-    change.upserts().forEach(entry -> findings.addAll(findIn(entry, after)));
-    if (change.keys().stream().anyMatch(ConfigCheck::isPointedTo)) {
-      after.all(RouteSpec.class).forEach(route -> findings.addAll(findIn(route, after)));
+    change.upserts().forEach(entry -> findings.addAll(checkEntry(entry, after)));
+    if (change.keys().stream().anyMatch(ConfigCheck::canAffectRoutes)) {
+      after.all(RouteSpec.class).forEach(route -> findings.addAll(checkEntry(route, after)));
     }
     return findings;
   }
 
-  private static boolean isPointedTo(String key) {
+  private static boolean canAffectRoutes(String key) {
     return !key.startsWith("box/") && !key.equals(PolicySpec.KEY);
   }
 
-  private static List<Finding> findIn(ConfigEntry entry, Configuration all) {
-    Findings found = new Findings(entry.key());
+  private static List<Finding> checkEntry(ConfigEntry entry, Configuration all) {
+    Findings findings = new Findings(entry.key());
     if (entry instanceof ModelSpec model) {
-      checkModel(model, found);
+      checkModel(model, findings);
     } else if (entry instanceof AccountSpec account) {
-      checkAccount(account, found);
+      checkAccount(account, findings);
     } else if (entry instanceof KindSpec kind) {
-      checkKind(kind, found);
+      checkKind(kind, findings);
     } else if (entry instanceof RouteSpec route) {
-      checkRoute(route, all, found);
+      checkRoute(route, all, findings);
     } else if (entry instanceof ServiceSpec service) {
-      checkService(service, found);
+      checkService(service, findings);
     } else if (entry instanceof BoxLabels labels) {
-      found.expect(!labels.box().isBlank(), "a box needs a name", "write name: box-1");
+      findings.expect(!labels.box().isBlank(), "a box needs a name", "write name: box-1");
     } else if (entry instanceof PolicySpec policy) {
-      found.range(policy.downtimeWeightPercent(), 0, 100, "downtime_weight_percent");
+      findings.expectRange(policy.downtimeWeightPercent(), 0, 100, "downtime_weight_percent");
     }
-    return found.list;
+    return findings.list;
   }
 
-  private static void checkModel(ModelSpec model, Findings found) {
-    found.name(model.name());
-    found.name(model.version());
-    found.range(model.boxesPerReplica(), 1, MAX_BOXES_PER_REPLICA, "boxes_per_replica");
-    found.range(model.replicas(), 0, Integer.MAX_VALUE, "replicas");
-    found.range(model.maxRunning(), 1, Integer.MAX_VALUE, "max_running");
-    found.range(model.maxQueued(), 0, Integer.MAX_VALUE, "max_queued");
+  private static void checkModel(ModelSpec model, Findings findings) {
+    findings.expectName(model.name());
+    findings.expectName(model.version());
+    findings.expectRange(model.boxesPerReplica(), 1, MAX_BOXES_PER_REPLICA, "boxes_per_replica");
+    findings.expectRange(model.replicas(), 0, Integer.MAX_VALUE, "replicas");
+    findings.expectRange(model.maxRunning(), 1, Integer.MAX_VALUE, "max_running");
+    findings.expectRange(model.maxQueued(), 0, Integer.MAX_VALUE, "max_queued");
   }
 
-  private static void checkAccount(AccountSpec account, Findings found) {
-    found.name(account.name());
-    found.expect(
+  private static void checkAccount(AccountSpec account, Findings findings) {
+    findings.expectName(account.name());
+    findings.expect(
         SHA256.matcher(account.keySha256()).matches(),
         "key_sha256 of account '" + account.name() + "' is not a SHA-256",
         "64 lower-case hexadecimal digits, from: printf %s KEY | sha256sum");
-    found.range(account.weight(), 1, Integer.MAX_VALUE, "weight");
-    found.range(account.maxOpen(), 1, Integer.MAX_VALUE, "max_open");
+    findings.expectRange(account.weight(), 1, Integer.MAX_VALUE, "weight");
+    findings.expectRange(account.maxOpen(), 1, Integer.MAX_VALUE, "max_open");
   }
 
-  private static void checkKind(KindSpec kind, Findings found) {
-    found.name(kind.name());
-    found.range(kind.priority(), 0, MAX_PRIORITY, "priority");
-    found.range(kind.costWeight(), 1, Integer.MAX_VALUE, "cost_weight");
-    found.range(kind.deadlineMs(), 1, Integer.MAX_VALUE, "deadline_ms");
+  private static void checkKind(KindSpec kind, Findings findings) {
+    findings.expectName(kind.name());
+    findings.expectRange(kind.priority(), 0, MAX_PRIORITY, "priority");
+    findings.expectRange(kind.costWeight(), 1, Integer.MAX_VALUE, "cost_weight");
+    findings.expectRange(kind.deadlineMs(), 1, Integer.MAX_VALUE, "deadline_ms");
   }
 
-  private static void checkRoute(RouteSpec route, Configuration all, Findings found) {
-    found.name(route.name());
-    String route1 = "route '" + route.name() + "' names ";
+  private static void checkRoute(RouteSpec route, Configuration all, Findings findings) {
+    findings.expectName(route.name());
+    String prefix = "route '" + route.name() + "' names ";
     for (String account : route.accounts()) {
-      found.expect(
+      findings.expect(
           account.equals(RouteSpec.ANY) || all.account(account).isPresent(),
-          route1 + "the unknown account '" + account + "'",
+          prefix + "the unknown account '" + account + "'",
           "declare it under accounts");
     }
     for (String kind : route.kinds()) {
-      found.expect(
+      findings.expect(
           kind.equals(RouteSpec.ANY) || all.kind(kind).isPresent(),
-          route1 + "the unknown kind '" + kind + "'",
+          prefix + "the unknown kind '" + kind + "'",
           "declare it under kinds");
     }
-    boolean isTarget =
+    boolean isKnownTarget =
         route.target().matches("(model|service)/.+") && all.entries().containsKey(route.target());
-    found.expect(
-        isTarget,
-        route1 + "the unknown target '" + route.target() + "'",
+    findings.expect(
+        isKnownTarget,
+        prefix + "the unknown target '" + route.target() + "'",
         "write model/NAME or service/NAME");
   }
 
-  private static void checkService(ServiceSpec service, Findings found) {
-    found.name(service.name());
-    found.range(service.maxRunning(), 1, Integer.MAX_VALUE, "max_running");
-    found.expect(!service.addresses().isEmpty(), "a service needs addresses", "host:port");
+  private static void checkService(ServiceSpec service, Findings findings) {
+    findings.expectName(service.name());
+    findings.expectRange(service.maxRunning(), 1, Integer.MAX_VALUE, "max_running");
+    findings.expect(!service.addresses().isEmpty(), "a service needs addresses", "host:port");
     for (String address : service.addresses()) {
-      found.expect(
+      findings.expect(
           ADDRESS.matcher(address).matches(),
           "'" + address + "' is not an address",
           "write host:port");
     }
   }
 
-  /** Gathers findings about one entry. */
+  /** Collects the findings for one entry. */
   private static final class Findings {
     private final String key;
     private final List<Finding> list = new ArrayList<>();
@@ -157,20 +159,20 @@
       this.key = key;
     }
 
-    void expect(boolean isRight, String message, String hint) {
-      if (!isRight) {
+    void expect(boolean isValid, String message, String hint) {
+      if (!isValid) {
         list.add(new Finding(key, message, hint));
       }
     }
 
-    void name(String name) {
+    void expectName(String name) {
       expect(
           NAME.matcher(name).matches(),
           "'" + name + "' is not a name",
           "letters, digits, dot, dash and underscore, at most 63");
     }
 
-    void range(long value, long min, long max, String field) {
+    void expectRange(long value, long min, long max, String field) {
       expect(
           value >= min && value <= max,
           field + " is " + value,
--- a/core/src/main/java/org/shoreroad/config/ConfigEntry.java
+++ b/core/src/main/java/org/shoreroad/config/ConfigEntry.java
@@ -1,7 +1,7 @@
 package org.shoreroad.config;
 
 /**
- * One declared thing, such as a model or a client account.
+ * An entry of a configuration, such as a model or a client account.
  *
  * <p>Implementations are immutable and thread-safe.
  *
--- a/core/src/main/java/org/shoreroad/config/ConfigFault.java
+++ b/core/src/main/java/org/shoreroad/config/ConfigFault.java
@@ -1,20 +1,20 @@
 package org.shoreroad.config;
 
 /**
- * One thing that is wrong with a configuration file.
+ * A fault in a configuration file.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param line the line, counted from 1, or 0 where no line is to blame
- * @param message what is wrong
- * @param hint what to write instead
+ * @param line the line, counted from 1, or 0 if the fault belongs to no line
+ * @param message the description of the fault
+ * @param hint advice on how to correct it, may be empty
  * @since 0.1
  */
 public record ConfigFault(int line, String message, String hint) {
-  /** Returns one line for people, such as {@code line 4: unknown field 'nam' (did ...)}. */
+  /** Returns one line of text, such as {@code line 4: unknown field 'nam' (one of name, ...)}. */
   @Override
   public String toString() {
-    String place = line > 0 ? "line " + line + ": " : "";
-    return place + message + (hint.isEmpty() ? "" : " (" + hint + ")");
+    String prefix = line > 0 ? "line " + line + ": " : "";
+    return prefix + message + (hint.isEmpty() ? "" : " (" + hint + ")");
   }
 }
--- a/core/src/main/java/org/shoreroad/config/ConfigFile.java
+++ b/core/src/main/java/org/shoreroad/config/ConfigFile.java
@@ -16,21 +16,21 @@
 import org.yaml.snakeyaml.nodes.SequenceNode;
 
 /**
- * A configuration file, read: its entries, its base and everything that is wrong with it.
+ * The result of parsing a configuration file: its entries, its base version and its faults.
  *
  * <p>The file is YAML with the sections {@code base_version}, {@code policy}, {@code models},
  * {@code accounts}, {@code kinds}, {@code routes}, {@code services} and {@code boxes}. All faults
- * are found in one reading, each with its line.
+ * are found in one pass, each with its line.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param baseVersion the version that the file was written against, or -1 if it names none
+ * @param baseVersion the configuration version that the file is based on, or {@link #NO_BASE}
  * @param configuration the entries
- * @param faults what is wrong, by line; empty if the file is right
+ * @param faults the faults, ordered by line; empty if the file is valid
  * @since 0.1
  */
 public record ConfigFile(long baseVersion, Configuration configuration, List<ConfigFault> faults) {
-  /** Stands for a file that names no base version. */
+  /** The base version of a file that declares none. */
   public static final long NO_BASE = -1;
 
   private static final int MAX_FILE_CHARS = 16 * 1024 * 1024;
@@ -52,7 +52,7 @@
    * Parses the text of a file.
    *
    * @param text the text, not null
-   * @return what was read, with all faults found
+   * @return the parsed file, with all its faults
    */
   public static ConfigFile parse(String text) {
     LoaderOptions options = new LoaderOptions();
@@ -73,7 +73,7 @@
     return new ConfigFile(NO_BASE, Configuration.EMPTY, List.of(fault));
   }
 
-  /** Reads the sections of one file and remembers the line of each entry. */
+  /** Reads the sections of one file and records the line of each entry for faults. */
   private static final class Reader {
     private final List<ConfigFault> faults = new ArrayList<>();
     private final Map<String, Integer> lineByKey = new HashMap<>();
@@ -84,7 +84,7 @@
       if (root instanceof MappingNode mapping) {
         mapping.getValue().forEach(this::readSection);
       } else {
-        faults.add(new ConfigFault(1, "the file is empty or no mapping", "write models: first"));
+        faults.add(new ConfigFault(1, "the file is empty or not a mapping", "write models: first"));
       }
       for (ConfigCheck.Finding finding : ConfigCheck.findAll(configuration)) {
         int line = lineByKey.getOrDefault(finding.key(), 0);
@@ -119,7 +119,7 @@
       try {
         baseVersion = Long.parseLong(((ScalarNode) value).getValue());
       } catch (ClassCastException | NumberFormatException e) {
-        faults.add(new ConfigFault(lineOf(value), "base_version is no number", "0 at first"));
+        faults.add(new ConfigFault(lineOf(value), "base_version is not a number", "0 at first"));
       }
     }
 
--- a/core/src/main/java/org/shoreroad/config/ConfigJson.java
+++ b/core/src/main/java/org/shoreroad/config/ConfigJson.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 
 /**
- * The JSON form of entries, as it travels in the log and to operators.
+ * Converts entries to and from JSON, the form in the log and in answers to operators.
  *
  * <p>All methods are thread-safe.
  *
@@ -30,7 +30,7 @@
 
   private ConfigJson() {}
 
-  /** Returns what the keys of a type begin with, up to the slash. */
+  /** Returns the part of a type's keys before the slash. */
   static String prefix(Class<? extends ConfigEntry> type) {
     return PREFIX_BY_TYPE.getOrDefault(type, "");
   }
@@ -47,7 +47,7 @@
   /**
    * Parses the JSON form of an entry.
    *
-   * @param key the entry's key, which tells its type
+   * @param key the entry's key, whose prefix determines the type
    * @param json the JSON form
    * @return the entry
    * @throws IllegalArgumentException if the text is not an entry of that type
@@ -55,12 +55,12 @@
   public static ConfigEntry parse(String key, String json) {
     Class<? extends ConfigEntry> type = TYPE_BY_PREFIX.get(key.split("/", 2)[0]);
     if (type == null) {
-      throw new IllegalArgumentException("no such type of entry: " + key);
+      throw new IllegalArgumentException("unknown entry type: " + key);
     }
     try {
       return MAPPER.readValue(json, type);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("not an entry: " + key, e);
+      throw new IllegalArgumentException("malformed entry: " + key, e);
     }
   }
 }
--- a/core/src/main/java/org/shoreroad/config/ConfigYaml.java
+++ b/core/src/main/java/org/shoreroad/config/ConfigYaml.java
@@ -9,7 +9,7 @@
 import org.yaml.snakeyaml.Yaml;
 
 /**
- * Writes a configuration in the form of a file, so that an operator can change and apply it.
+ * Writes a configuration as a YAML file, so that an operator can edit and apply it.
  *
  * <p>All methods are thread-safe.
  *
@@ -19,10 +19,10 @@
   private ConfigYaml() {}
 
   /**
-   * Returns the file's text; {@link ConfigFile#parse} gives the same configuration back.
+   * Returns the file's text, from which {@link ConfigFile#parse} reads an equal configuration.
    *
    * @param configuration the configuration, not null
-   * @param baseVersion the version it is
+   * @param baseVersion the version of the configuration
    */
   public static String toYaml(Configuration configuration, long baseVersion) {
     Map<String, Object> root = new LinkedHashMap<>();
--- a/core/src/main/java/org/shoreroad/config/Configuration.java
+++ b/core/src/main/java/org/shoreroad/config/Configuration.java
@@ -7,10 +7,10 @@
 import org.pcollections.TreePMap;
 
 /**
- * All declared entries, by key.
+ * A set of declared entries.
  *
- * <p>This class is immutable and thread-safe; copies share structure, so one change costs the
- * logarithm of the size.
+ * <p>This class is immutable and thread-safe. Copies share structure, so a change of one entry
+ * takes time logarithmic in the number of entries.
  *
  * @param entries the entries by key
  * @since 0.1
@@ -58,40 +58,40 @@
     return find(KindSpec.class, "kind/" + name);
   }
 
-  /** Returns the plain service of this name. */
+  /** Returns the service of this name. */
   public Optional<ServiceSpec> service(String name) {
     return find(ServiceSpec.class, "service/" + name);
   }
 
-  /** Returns the labels of the box, empty if operators gave it none. */
+  /** Returns the labels of the box, or empty labels if none are declared. */
   public BoxLabels boxLabels(String box) {
     return find(BoxLabels.class, "box/" + box).orElse(new BoxLabels(box, Map.of(), false));
   }
 
-  /** Returns the policy, or {@link PolicySpec#DEFAULT}. */
+  /** Returns the policy, or {@link PolicySpec#DEFAULT} if none is declared. */
   public PolicySpec policy() {
     return find(PolicySpec.class, PolicySpec.KEY).orElse(PolicySpec.DEFAULT);
   }
 
-  /** Returns how many replicas of the model may stand, those on standby counted. */
+  /** Returns the maximum number of standing replicas of the model, including standby replicas. */
   public int maxStandingReplicas(ModelSpec model) {
     return model.replicas() + policy().standbyReplicas(model.replicas());
   }
 
-  /** Returns true if some route lets the account send the kind to the target. */
+  /** Returns true if a route allows the account to send requests of the kind to the target. */
   public boolean isRouted(String account, String kind, String target) {
-    return all(RouteSpec.class).stream().anyMatch(r -> r.isCovering(account, kind, target));
+    return all(RouteSpec.class).stream().anyMatch(r -> r.allows(account, kind, target));
   }
 
   /**
-   * Returns all entries of one type, ordered by key; the cost does not grow with other types.
+   * Returns all entries of one type, ordered by key. The cost does not depend on other types.
    *
-   * @param type the type, not null, but for the single policy
+   * @param type the type, not null and not {@link PolicySpec}, whose single key has no slash
    * @return the entries
    */
   public <T extends ConfigEntry> List<T> all(Class<T> type) {
     String prefix = ConfigJson.prefix(type);
-    // '0' follows '/', so this is every key of the type and no other.
+    // '0' is the character after '/', so the range contains exactly the keys of the type.
     return entries.subMap(prefix + "/", prefix + "0").values().stream().map(type::cast).toList();
   }
 
--- a/core/src/main/java/org/shoreroad/config/FieldReader.java
+++ b/core/src/main/java/org/shoreroad/config/FieldReader.java
@@ -12,16 +12,16 @@
 import org.yaml.snakeyaml.nodes.SequenceNode;
 
 /**
- * Takes typed fields out of one YAML mapping and notes each fault with its line.
+ * Reads typed fields from one YAML mapping and records each fault with its line.
  *
- * <p>A faulty field yields a stand-in value, so that the reading goes on and finds the rest. Not
- * thread-safe.
+ * <p>For a faulty field the methods return a placeholder, so that reading continues and finds all
+ * faults. Not thread-safe.
  */
 final class FieldReader {
   private final Node node;
   private final List<ConfigFault> faults;
   private final Map<String, Node> fields = new LinkedHashMap<>();
-  private final List<String> asked = new ArrayList<>();
+  private final List<String> readNames = new ArrayList<>();
 
   FieldReader(Node node, List<ConfigFault> faults) {
     this.node = node;
@@ -31,84 +31,85 @@
         fields.put(((ScalarNode) tuple.getKeyNode()).getValue(), tuple.getValueNode());
       }
     } else {
-      fault(node, "a mapping is expected", "write field: value");
+      addFault(node, "a mapping is expected", "write field: value");
     }
   }
 
-  /** Notes the fields that nobody asked for and returns the entry. */
+  /** Records a fault for each field that was never read and returns the entry. */
   <T> T finish(T entry) {
     fields.forEach(
         (name, value) -> {
-          if (!asked.contains(name)) {
-            fault(value, "unknown field '" + name + "'", "one of " + String.join(", ", asked));
+          if (!readNames.contains(name)) {
+            addFault(
+                value, "unknown field '" + name + "'", "one of " + String.join(", ", readNames));
           }
         });
     return entry;
   }
 
   String text(String name) {
-    Node value = take(name);
+    Node value = readField(name);
     if (value == null) {
-      fault(node, "the field '" + name + "' is missing", "");
+      addFault(node, "the field '" + name + "' is missing", "");
       return "missing";
     }
     return scalar(value, name);
   }
 
-  String textOr(String name, String standard) {
-    Node value = take(name);
-    return value == null ? standard : scalar(value, name);
+  String textOr(String name, String defaultValue) {
+    Node value = readField(name);
+    return value == null ? defaultValue : scalar(value, name);
   }
 
-  int integer(String name, int standard) {
-    Node value = take(name);
+  int integer(String name, int defaultValue) {
+    Node value = readField(name);
     if (value == null) {
-      return standard;
+      return defaultValue;
     }
     try {
       return Integer.parseInt(scalar(value, name));
     } catch (NumberFormatException e) {
-      fault(value, name + " is no whole number", "for example " + standard);
-      return standard;
+      addFault(value, name + " is not a whole number", "for example " + defaultValue);
+      return defaultValue;
     }
   }
 
-  boolean bool(String name, boolean standard) {
-    Node value = take(name);
+  boolean bool(String name, boolean defaultValue) {
+    Node value = readField(name);
     if (value == null) {
-      return standard;
+      return defaultValue;
     }
     String text = scalar(value, name);
     if (!text.equals("true") && !text.equals("false")) {
-      fault(value, name + " is neither true nor false", "for example " + standard);
+      addFault(value, name + " is neither true nor false", "for example " + defaultValue);
     }
     return text.equals("true");
   }
 
   List<String> textList(String name) {
-    Node value = take(name);
+    Node value = readField(name);
     if (value instanceof SequenceNode list) {
       return list.getValue().stream().map(item -> scalar(item, name)).toList();
     }
-    fault(value == null ? node : value, name + " must be a list", "write [a, b]");
+    addFault(value == null ? node : value, name + " must be a list", "write [a, b]");
     return List.of();
   }
 
   Map<String, String> textMap(String name) {
-    Node value = take(name);
+    Node value = readField(name);
     Map<String, String> result = new LinkedHashMap<>();
     if (value instanceof MappingNode mapping) {
       for (NodeTuple tuple : mapping.getValue()) {
         result.put(scalar(tuple.getKeyNode(), name), scalar(tuple.getValueNode(), name));
       }
     } else if (value != null) {
-      fault(value, name + " must be a mapping", "write {label: value}");
+      addFault(value, name + " must be a mapping", "write {label: value}");
     }
     return result;
   }
 
-  private @Nullable Node take(String name) {
-    asked.add(name);
+  private @Nullable Node readField(String name) {
+    readNames.add(name);
     return fields.get(name);
   }
 
@@ -116,11 +117,11 @@
     if (value instanceof ScalarNode scalar) {
       return scalar.getValue();
     }
-    fault(value, name + " must be a single value", "");
+    addFault(value, name + " must be a single value", "");
     return "missing";
   }
 
-  private void fault(Node place, String message, String hint) {
-    faults.add(new ConfigFault(ConfigFile.lineOf(place), message, hint));
+  private void addFault(Node faulty, String message, String hint) {
+    faults.add(new ConfigFault(ConfigFile.lineOf(faulty), message, hint));
   }
 }
--- a/core/src/main/java/org/shoreroad/config/KindSpec.java
+++ b/core/src/main/java/org/shoreroad/config/KindSpec.java
@@ -8,8 +8,8 @@
  * @param name the kind's name, as callers send it in {@code X-Request-Kind}
  * @param priority the priority, 0 (first) to 9 (last)
  * @param isRepeatable whether a request of this kind may be run more than once
- * @param costWeight how much one token of this kind counts, 1 or more
- * @param deadlineMs how long a request may wait before it is started, in milliseconds, positive
+ * @param costWeight the factor by which the tokens of this kind are counted, 1 or more
+ * @param deadlineMs the maximum wait before a request is started, in milliseconds, positive
  * @since 0.1
  */
 public record KindSpec(
--- a/core/src/main/java/org/shoreroad/config/ModelSpec.java
+++ b/core/src/main/java/org/shoreroad/config/ModelSpec.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 
 /**
- * A model and the boxes that may hold its replicas.
+ * A model, its wanted replicas and the boxes that they may use.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param name the model's name, as callers send it
  * @param version the version of the weights to load
- * @param boxesPerReplica how many boxes form one replica, 1 or more
- * @param replicas how many replicas are wanted, 0 or more
+ * @param boxesPerReplica the number of boxes of one replica, 1 or more
+ * @param replicas the number of wanted replicas, 0 or more
  * @param sameFabricDomain whether all boxes of a replica must share a fabric domain
- * @param boxSelector the labels a box must carry, each with this value
- * @param maxRunning how many requests one replica runs at a time, 1 or more
- * @param maxQueued how many requests wait at one replica at most, 0 or more
+ * @param boxSelector the labels that a box must have, with their values
+ * @param maxRunning the maximum number of requests that one replica runs at a time, 1 or more
+ * @param maxQueued the maximum number of requests that wait at one replica, 0 or more
  * @since 0.1
  */
 public record ModelSpec(
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Returns true if a box with these labels may hold a replica of this model.
+   * Returns true if a replica of this model may use a box with these labels.
    *
    * @param labels the labels of the box, not null
-   * @return true if every label of the selector is there with its value
+   * @return true if every label of the selector is present with its value
    */
   public boolean matchesLabels(Map<String, String> labels) {
     return boxSelector.entrySet().stream()
--- a/core/src/main/java/org/shoreroad/config/PolicySpec.java
+++ b/core/src/main/java/org/shoreroad/config/PolicySpec.java
@@ -1,11 +1,11 @@
 package org.shoreroad.config;
 
 /**
- * How operators weigh their two measures.
+ * The relative weight of the two goals: little downtime and few stranded accelerators.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param downtimeWeightPercent how much group downtime counts against stranded accelerators: 100
+ * @param downtimeWeightPercent the weight of group downtime relative to stranded accelerators: 100
  *     counts only downtime, 0 only stranded accelerators
  * @since 0.1
  */
@@ -16,7 +16,7 @@
   /** The key of the single policy entry. */
   public static final String KEY = "policy";
 
-  /** The policy where operators declare none. */
+  /** The policy if operators declare none. */
   public static final PolicySpec DEFAULT = new PolicySpec(50);
 
   @Override
@@ -25,13 +25,14 @@
   }
 
   /**
-   * Returns how many more replicas than wanted are kept loaded, where boxes are free for them.
+   * Returns the number of standby replicas, which are kept loaded in addition to the wanted ones if
+   * boxes are free.
    *
-   * <p>They serve as the others do. When a box is lost, as many replicas as wanted still stand, and
-   * the load of the next one is nobody's downtime. At the full weight it is a quarter more, rounded
-   * up; at zero it is none.
+   * <p>Standby replicas serve requests like all others. When a box is lost, the wanted number of
+   * replicas is still standing, so loading the next one causes no downtime. At full downtime weight
+   * the number is a quarter of the wanted replicas, rounded up; at zero weight it is 0.
    *
-   * @param replicas how many are wanted, 0 or more
+   * @param replicas the number of wanted replicas, 0 or more
    */
   public int standbyReplicas(int replicas) {
     double share = downtimeWeightPercent / (double) FULL_PERCENT / STANDBY_DIVISOR;
--- a/core/src/main/java/org/shoreroad/config/RouteSpec.java
+++ b/core/src/main/java/org/shoreroad/config/RouteSpec.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Lets client accounts send request kinds to a model or a plain service.
+ * A permission for client accounts to send requests of some kinds to a model or a service.
  *
  * <p>This class is immutable and thread-safe.
  *
@@ -15,7 +15,7 @@
  */
 public record RouteSpec(String name, List<String> accounts, List<String> kinds, String target)
     implements ConfigEntry {
-  /** Stands for every account or every kind. */
+  /** The wildcard that matches every account or every kind. */
   public static final String ANY = "*";
 
   /** Copies the lists. */
@@ -29,8 +29,8 @@
     return "route/" + name;
   }
 
-  /** Returns true if this route covers the account, the kind and the target. */
-  public boolean isCovering(String account, String kind, String wantedTarget) {
+  /** Returns true if the account may send requests of this kind to the target by this route. */
+  public boolean allows(String account, String kind, String wantedTarget) {
     return target.equals(wantedTarget) && isListed(accounts, account) && isListed(kinds, kind);
   }
 
--- a/core/src/test/java/org/shoreroad/config/ConfigFileTest.java
+++ b/core/src/test/java/org/shoreroad/config/ConfigFileTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every fault is found with its line; what is written is read back. */
+/**
+ * Tests that every fault is reported with its line, and that a written configuration reads back.
+ */
 class ConfigFileTest {
   private static final Path EXAMPLES = Path.of("..", "examples");
 
@@ -39,10 +41,10 @@
   }
 
   @Test
-  void testParse_faultsCarryTheirLine() {
+  void testParse_faultsHaveTheirLine() {
     expectFault("kinds:\n  - name: k\n    priorty: 3\n", 3, "unknown field 'priorty'");
     expectFault("kinds:\n  - priority: 3\n", 2, "'name' is missing");
-    expectFault("kinds:\n  - name: k\n    priority: high\n", 3, "no whole number");
+    expectFault("kinds:\n  - name: k\n    priority: high\n", 3, "not a whole number");
     expectFault("kinds:\n  - name: k\n    priority: 10\n", 2, "priority is 10");
     expectFault("kinds:\n  - name: k\n  - name: k\n", 3, "declared twice");
     expectFault("things: []\n", 1, "unknown section 'things'");
