--- a/core/src/main/java/org/shoreroad/LoadName.java
+++ b/core/src/main/java/org/shoreroad/LoadName.java
@@ -3,29 +3,30 @@
 import java.util.Objects;
 
 /**
- * The name that a model is loaded under on one box: model, generation and the order's own number.
+ * The name under which a model is loaded on one box: model, generation and number of the load
+ * order.
  *
- * <p>This name is the fence for engines that ignore fencing numbers. Each <em>physical sending</em>
- * of a load order carries a name that no other sending carries, and a request names what a
- * read-back has shown. So a late request names something that is no longer loaded, and a late order
- * loads something that nobody names.
+ * <p>The name provides fencing for engines that ignore fencing numbers. Each transmission of a load
+ * order, including each retry, has a unique name, and a request uses the name that the engine
+ * reported after the load. So a delayed request refers to a load that no longer exists, and a
+ * delayed order creates a load that no request refers to.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param model the declared model, not empty, without {@code ~}
+ * @param model the name of the model, not empty, without {@code ~}
  * @param generation the generation's number, positive
- * @param orderNumber the number of this sending of the order, unique for ever
+ * @param orderNumber the number of this transmission of the order, never reused
  * @since 0.1
  */
 public record LoadName(String model, long generation, String orderNumber) {
   private static final String SEPARATOR = "~";
 
-  /** Checks the parts. */
+  /** Checks the components. */
   public LoadName {
     Objects.requireNonNull(model, "model");
     Objects.requireNonNull(orderNumber, "orderNumber");
     if (model.isEmpty() || model.contains(SEPARATOR) || orderNumber.contains(SEPARATOR)) {
-      throw new IllegalArgumentException("not a load name: " + model + " " + orderNumber);
+      throw new IllegalArgumentException("malformed load name: " + model + " " + orderNumber);
     }
   }
 
@@ -39,12 +40,12 @@
   public static LoadName parse(String text) {
     String[] parts = text.split(SEPARATOR, -1);
     if (parts.length != 3) {
-      throw new IllegalArgumentException("not a load name: " + text);
+      throw new IllegalArgumentException("malformed load name: " + text);
     }
     return new LoadName(parts[0], Long.parseLong(parts[1]), parts[2]);
   }
 
-  /** Returns true if the text is the name of a load for the generation. */
+  /** Returns true if the text is the text form of a load name for the generation. */
   public static boolean isForGeneration(String text, long generation) {
     return text.contains(SEPARATOR + generation + SEPARATOR);
   }
--- a/core/src/main/java/org/shoreroad/ShoreroadException.java
+++ b/core/src/main/java/org/shoreroad/ShoreroadException.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * A refusal or failure with its code, its verdict and the time after which to come back.
+ * A refusal or failure with its error code, its verdict and the time after which to retry.
  *
  * <p>Instances are immutable but for the stack trace.
  *
@@ -22,10 +22,10 @@
   }
 
   /**
-   * Returns an exception for a request that was not run and that a repeat would not help.
+   * Returns an exception for a request that was not run and for which a retry would not help.
    *
-   * @param code the code, not null
-   * @param message what is wrong, not null
+   * @param code the error code, not null
+   * @param message the description, not null
    * @return the exception, with verdict {@link Verdict#NOT_RUN}
    */
   public static ShoreroadException notRun(ErrorCode code, String message) {
@@ -33,11 +33,11 @@
   }
 
   /**
-   * Returns an exception for a request that was not run and may be sent again later.
+   * Returns an exception for a request that was not run and may be retried later.
    *
-   * @param code the code, not null
-   * @param message what is wrong, not null
-   * @param retryAfterMs when to come back, in milliseconds from now, positive
+   * @param code the error code, not null
+   * @param message the description, not null
+   * @param retryAfterMs the time until the retry, in milliseconds, positive
    * @return the exception, with verdict {@link Verdict#NOT_RUN}
    */
   public static ShoreroadException notRun(ErrorCode code, String message, long retryAfterMs) {
@@ -47,10 +47,10 @@
   /**
    * Returns an exception with any verdict.
    *
-   * @param code the code, not null
+   * @param code the error code, not null
    * @param verdict the verdict, not null
-   * @param message what is wrong, not null
-   * @param retryAfterMs when to come back, in milliseconds, or 0 for no advice
+   * @param message the description, not null
+   * @param retryAfterMs the time until the retry, in milliseconds, or 0 for no advice
    * @return the exception
    */
   public static ShoreroadException of(
@@ -58,7 +58,7 @@
     return new ShoreroadException(code, verdict, message, retryAfterMs);
   }
 
-  /** Returns the code. */
+  /** Returns the error code. */
   public ErrorCode code() {
     return code;
   }
@@ -68,7 +68,7 @@
     return verdict;
   }
 
-  /** Returns when to come back, in milliseconds, or 0 for no advice. */
+  /** Returns the time until the retry, in milliseconds, or 0 for no advice. */
   public long retryAfterMs() {
     return retryAfterMs;
   }
--- a/core/src/main/java/org/shoreroad/Verdict.java
+++ b/core/src/main/java/org/shoreroad/Verdict.java
@@ -3,19 +3,19 @@
 /**
  * Whether a request may have been run by an upstream.
  *
- * <p>Every refusal and every failure carries one verdict, between processes and towards callers.
- * {@link #NOT_RUN} is a promise: only a party that can know it may say it. As soon as one byte of a
- * request may have left for an upstream, only the upstream's own explicit refusal turns {@link
- * #MAY_HAVE_RUN} back into {@link #NOT_RUN}.
+ * <p>Every refusal and every failure has a verdict, in messages between processes and in responses
+ * to callers. {@link #NOT_RUN} is a guarantee, which may be given only if it is certain. As soon as
+ * one byte of a request may have been sent to an upstream, the verdict is {@link #MAY_HAVE_RUN},
+ * and only an explicit refusal by that upstream changes it back to NOT_RUN.
  *
  * <p>This enum is immutable and thread-safe.
  *
  * @since 0.1
  */
 public enum Verdict {
-  /** The request was not run and, unless it is sent again, never will be. */
+  /** The request was not run and won't be unless it is sent again. */
   NOT_RUN("not_run"),
-  /** The request may have been run, wholly or in part. */
+  /** The request may have been run, completely or in part. */
   MAY_HAVE_RUN("may_have_run"),
   /** The request was run to its end. */
   RAN("ran");
@@ -29,7 +29,7 @@
   /**
    * Parses the text form of a verdict.
    *
-   * @param text the text form, as {@link #toString()} gives it, not null
+   * @param text the text form, as returned by {@link #toString()}, not null
    * @return the verdict
    * @throws IllegalArgumentException if no verdict has this text
    */
@@ -39,11 +39,11 @@
         return verdict;
       }
     }
-    throw new IllegalArgumentException("no such verdict: " + text);
+    throw new IllegalArgumentException("unknown verdict: " + text);
   }
 
   /**
-   * Returns true if a request with this verdict can be sent again without any risk of a second run.
+   * Returns true if a request with this verdict can be sent again without the risk of a second run.
    *
    * @return true only for {@link #NOT_RUN}
    */
--- a/core/src/main/java/org/shoreroad/package-info.java
+++ b/core/src/main/java/org/shoreroad/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The value types that the rest of shoreroad is written in; read these first.
+ * The value types that all other packages use.
  *
- * <p>Every type here is immutable and thread-safe. Nothing in this package, or in any other package
- * of the core module, performs input or output or reads a clock: the caller passes the time in.
+ * <p>Every type in this package is immutable and thread-safe. No code in the core module performs
+ * input or output or reads a clock: the caller passes the time as an argument.
  */
 @NullMarked
 package org.shoreroad;
--- a/core/src/test/java/org/shoreroad/ErrorCodeTest.java
+++ b/core/src/test/java/org/shoreroad/ErrorCodeTest.java
@@ -10,10 +10,13 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Codes, verdicts and load names keep their text forms, and the callers' page tells each code. */
+/**
+ * Tests the text forms of error codes, verdicts and load names, and that docs/API.md lists every
+ * error code.
+ */
 class ErrorCodeTest {
   @Test
-  void testParse_givesEveryCodeBack() throws IOException {
+  void testParse_everyCodeRoundTripsAndIsDocumented() throws IOException {
     String page = Files.readString(Path.of("..", "docs", "API.md"));
     for (ErrorCode code : ErrorCode.values()) {
       assertThat(ErrorCode.parse(code.toString()), is(code));
@@ -32,7 +35,7 @@
   }
 
   @Test
-  void testLoadName_tellsItsGeneration() {
+  void testLoadName_isForItsGenerationOnly() {
     LoadName name = new LoadName("m", 118, "n1-4f");
     assertThat(LoadName.parse(name.toString()), is(name));
     assertThat(LoadName.isForGeneration(name.toString(), 118), is(true));
