--- a/core/src/main/java/org/shoreroad/ErrorCode.java
+++ b/core/src/main/java/org/shoreroad/ErrorCode.java
@@ -15,7 +15,7 @@
   BAD_REQUEST("bad_request", 400),
   /** The client account's key is missing or unknown. */
   UNKNOWN_ACCOUNT("unknown_account", 401),
-  /** No route lets this client account use this model or service for this request kind. */
+  /** No route allows this client account to use this model or service for this request kind. */
   NOT_ROUTED("not_routed", 403),
   /** The path is unknown. */
   NOT_FOUND("not_found", 404),
--- a/core/src/main/java/org/shoreroad/Verdict.java
+++ b/core/src/main/java/org/shoreroad/Verdict.java
@@ -4,8 +4,8 @@
  * Whether a request may have been run by an upstream.
  *
  * <p>Every refusal and every failure has a verdict, in messages between processes and in responses
- * to callers. {@link #NOT_RUN} is a guarantee, which may be given only if it is certain. As soon as
- * one byte of a request may have been sent to an upstream, the verdict is {@link #MAY_HAVE_RUN},
+ * to callers. {@link #NOT_RUN} is a guarantee: a process may give it only if it is certain. As soon
+ * as one byte of a request may have been sent to an upstream, the verdict is {@link #MAY_HAVE_RUN},
  * and only an explicit refusal by that upstream changes it back to NOT_RUN.
  *
  * <p>This enum is immutable and thread-safe.
--- a/core/src/main/java/org/shoreroad/state/ClusterState.java
+++ b/core/src/main/java/org/shoreroad/state/ClusterState.java
@@ -20,7 +20,7 @@
  * @param changedAt the offset at which each configuration key was last changed or removed
  * @param generations the generations that still hold a box, by number
  * @param generationByBox the generation that holds each box, by box name
- * @param nodes the joined processes, by id
+ * @param nodes the joined processes with the offset at which they joined, by id
  * @param outcomeById the outcomes of recent records, by record id
  * @param idByOffset the ids of the same records by offset, so that the oldest is removed first
  * @since 0.1
@@ -83,7 +83,7 @@
 
   /**
    * Returns the outcome of the record with this id, or empty if it isn't among the last {@link
-   * StateMachine#RECENT_IDS}.
+   * StateMachine#RECENT_IDS} records.
    */
   public Optional<Outcome> outcomeOf(String id) {
     return Optional.ofNullable(outcomeById.get(id));
--- a/core/src/main/java/org/shoreroad/state/LogRecord.java
+++ b/core/src/main/java/org/shoreroad/state/LogRecord.java
@@ -53,7 +53,8 @@
   record ReplicaDissolved(String id, long generation, DissolveReason reason) implements LogRecord {}
 
   /**
-   * The release of a box of a dissolved generation, after the box reported no load of it any more.
+   * The release of a box of a dissolved generation, after the box reported no load of the
+   * generation.
    *
    * @param id the record's id
    * @param generation the generation's number
@@ -74,7 +75,7 @@
    *
    * @param id the record's id
    * @param nodeId the id of the process
-   * @param joinedAt the offset of the {@link NodeJoined} record that this one cancels
+   * @param joinedAt the offset of the {@link NodeJoined} record that this one ends
    */
   record NodeLeft(String id, String nodeId, long joinedAt) implements LogRecord {}
 }
--- a/core/src/main/java/org/shoreroad/state/StateMachine.java
+++ b/core/src/main/java/org/shoreroad/state/StateMachine.java
@@ -96,7 +96,7 @@
 
   private static Outcome applyConfig(
       Draft draft, ClusterState s, long offset, LogRecord.ConfigChanged changed) {
-    // If two changes have a key in common, the later one is rejected as a whole.
+    // A change is rejected as a whole if one of its keys was changed after its base version.
     for (String key : changed.change().keys()) {
       long changedAt = s.changedAt().getOrDefault(key, 0L);
       if (changedAt > changed.baseVersion()) {
