--- a/core/src/main/java/org/shoreroad/placement/Planner.java
+++ b/core/src/main/java/org/shoreroad/placement/Planner.java
@@ -72,7 +72,7 @@
   private static Map<String, Integer> planDissolving(
       ClusterState state, Set<String> leaving, List<PlanStep> steps) {
     Map<String, Integer> kept = new TreeMap<>();
-    for (Generation generation : state.standing()) {
+    for (Generation generation : state.standingGenerations()) {
       int count = kept.getOrDefault(generation.model(), 0);
       DissolveReason reason = findReason(state.configuration(), generation, leaving, count);
       if (reason == null) {
@@ -88,7 +88,7 @@
       Configuration configuration, Generation generation, Set<String> leaving, int keptBefore) {
     ModelSpec model = configuration.model(generation.model()).orElse(null);
     if (model == null
-        || keptBefore >= configuration.maxStanding(model)
+        || keptBefore >= configuration.maxStandingReplicas(model)
         || generation.boxes().size() != model.boxesPerReplica()) {
       return DissolveReason.NOT_WANTED;
     }
@@ -97,7 +97,7 @@
       if (leaving.contains(box.name()) || labels.isDraining()) {
         return DissolveReason.BOX_LEAVING;
       }
-      if (!model.isSelecting(labels.labels())) {
+      if (!model.matchesLabels(labels.labels())) {
         return DissolveReason.NOT_WANTED;
       }
     }
@@ -114,7 +114,7 @@
       if (standing.getOrDefault(lacking.name(), 0) >= lacking.replicas()) {
         continue;
       }
-      for (Generation generation : state.standing()) {
+      for (Generation generation : state.standingGenerations()) {
         ModelSpec holder = state.configuration().model(generation.model()).orElse(null);
         boolean isStandby =
             holder != null && standing.getOrDefault(holder.name(), 0) > holder.replicas();
@@ -131,14 +131,14 @@
       Configuration configuration, Generation generation, ModelSpec model) {
     return generation.boxes().size() >= model.boxesPerReplica()
         && generation.boxes().stream()
-            .allMatch(b -> model.isSelecting(configuration.boxLabels(b.name()).labels()));
+            .allMatch(b -> model.matchesLabels(configuration.boxLabels(b.name()).labels()));
   }
 
   private static Optional<PlanStep.Form> planNext(
       ClusterState state, List<ModelSpec> models, Map<String, Integer> standing, FreeBoxes free) {
     List<ModelSpec> lacking =
         models.stream()
-            .filter(m -> standing.getOrDefault(m.name(), 0) < state.configuration().maxStanding(m))
+            .filter(m -> standing.getOrDefault(m.name(), 0) < state.configuration().maxStandingReplicas(m))
             .sorted(
                 Comparator.comparingDouble(
                         (ModelSpec m) -> standing.getOrDefault(m.name(), 0) / (double) m.replicas())
@@ -208,7 +208,7 @@
       for (TreeMap<String, Box> domain : byDomain.values()) {
         groups.add(
             domain.values().stream()
-                .filter(box -> model.isSelecting(configuration.boxLabels(box.name()).labels()))
+                .filter(box -> model.matchesLabels(configuration.boxLabels(box.name()).labels()))
                 .toList());
       }
       return model.sameFabricDomain()
@@ -230,7 +230,7 @@
   public static Set<String> findLacking(ClusterState state) {
     Set<String> lacking = new TreeSet<>();
     for (ModelSpec model : state.configuration().all(ModelSpec.class)) {
-      if (state.standing(model.name()).size() < model.replicas()) {
+      if (state.standingGenerations(model.name()).size() < model.replicas()) {
         lacking.add(model.name());
       }
     }
--- a/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
+++ b/core/src/test/java/org/shoreroad/replica/ReplicaSimulation.java
@@ -186,7 +186,7 @@
       }
     }
     // Operators may dissolve a generation at any time.
-    List<Generation> standing = headState.standing();
+    List<Generation> standing = headState.standingGenerations();
     if (!standing.isEmpty() && random.nextInt(120) == 0) {
       long number = standing.get(random.nextInt(standing.size())).number();
       append(new LogRecord.ReplicaDissolved(newId(), number, DissolveReason.NOT_WANTED));
@@ -328,7 +328,7 @@
 
   private static boolean holds(SimBox box, Generation generation) {
     return box.isAlive
-        && box.loads.stream().anyMatch(load -> LoadName.isOf(load, generation.number()));
+        && box.loads.stream().anyMatch(load -> LoadName.isForGeneration(load, generation.number()));
   }
 
   /** Probes all boxes again and confirms a completion only if the snapshot is unchanged. */
