--- a/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
@@ -87,7 +87,9 @@
       isChanged = false;
       int now = minute;
       long serving =
-          state.standingGenerations().stream().filter(g -> readyAt.getOrDefault(g.number(), 0) <= now).count();
+          state.standingGenerations().stream()
+              .filter(g -> readyAt.getOrDefault(g.number(), 0) <= now)
+              .count();
       long live = boxes.stream().filter(b -> !isDead(b.box(), now)).count();
       downtime += Math.max(0, replicas - serving);
       stranded += live - serving * Fleet.BOXES_PER_REPLICA;
--- a/core/src/main/java/org/shoreroad/placement/Planner.java
+++ b/core/src/main/java/org/shoreroad/placement/Planner.java
@@ -138,7 +138,10 @@
       ClusterState state, List<ModelSpec> models, Map<String, Integer> standing, FreeBoxes free) {
     List<ModelSpec> lacking =
         models.stream()
-            .filter(m -> standing.getOrDefault(m.name(), 0) < state.configuration().maxStandingReplicas(m))
+            .filter(
+                m ->
+                    standing.getOrDefault(m.name(), 0)
+                        < state.configuration().maxStandingReplicas(m))
             .sorted(
                 Comparator.comparingDouble(
                         (ModelSpec m) -> standing.getOrDefault(m.name(), 0) / (double) m.replicas())
--- a/core/src/main/java/org/shoreroad/replica/ReplicaController.java
+++ b/core/src/main/java/org/shoreroad/replica/ReplicaController.java
@@ -266,7 +266,8 @@
         .map(BoxEvidence::report)
         .filter(r -> r != null)
         .flatMap(r -> r.loads().stream())
-        .anyMatch(l -> LoadName.isForGeneration(l.name(), generation.number()) && l.runningCount() > 0);
+        .anyMatch(
+            l -> LoadName.isForGeneration(l.name(), generation.number()) && l.runningCount() > 0);
   }
 
   private Optional<ReplicaSnapshot> findSnapshot(Predicate<BoxEvidence> isAccepted) {
