--- a/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
@@ -98,7 +98,7 @@
           }
 
           @Override
-          public void onSilence(Engines.Silence silence) {
+          public void onSilence(Engines.ReportFailure silence) {
             log.write("box_silent", "box", box.id(), "address", box.address(), "why", silence);
             recordSilence(box.id(), silence);
             onAnswer.run();
@@ -191,12 +191,12 @@
         String.valueOf(report.membership()));
   }
 
-  private void recordSilence(String id, Engines.Silence silence) {
-    boolean isRefused = silence == Engines.Silence.REFUSED;
+  private void recordSilence(String id, Engines.ReportFailure silence) {
+    boolean isRefused = silence == Engines.ReportFailure.REFUSED;
     FleetBox known = fleet.find(id);
     // A box that is to stay and does not listen has crashed; one that leaves may still be at work.
     boolean isToStay = known != null && !known.isLeaving() && fleet.isListed(id);
-    boolean isGone = silence == Engines.Silence.GONE || (isRefused && isToStay);
+    boolean isGone = silence == Engines.ReportFailure.GONE || (isRefused && isToStay);
     reach.recordSilence(id, isGone, isRefused, clockNanos.getAsLong());
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
@@ -26,7 +26,7 @@
     void onReport(FleetBox newest);
 
     /** Tells that it did not answer. */
-    void onSilence(Silence silence);
+    void onSilence(ReportFailure silence);
   }
 
   /** Hears how an order was taken. */
@@ -37,7 +37,7 @@
   }
 
   /** Why an engine did not answer. */
-  enum Silence {
+  enum ReportFailure {
     /** Nothing came in time. */
     NO_ANSWER,
     /** Nobody listens at the address: the upstream has crashed, or leaves and ends what it has. */
