--- a/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
@@ -98,7 +98,7 @@
           }
 
           @Override
-          public void onSilence(Engines.ReportFailure silence) {
+          public void onFailure(Engines.ReportFailure silence) {
             log.write("box_silent", "box", box.id(), "address", box.address(), "why", silence);
             recordSilence(box.id(), silence);
             onAnswer.run();
--- a/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
@@ -26,7 +26,7 @@
     void onReport(FleetBox newest);
 
     /** Tells that it did not answer. */
-    void onSilence(ReportFailure silence);
+    void onFailure(ReportFailure silence);
   }
 
   /** Hears how an order was taken. */
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -147,11 +147,11 @@
     public void ask(FleetBox box, AskCallback callback) {
       asked.add(box.id());
       if (refusing.contains(box.id())) {
-        callback.onSilence(ReportFailure.REFUSED);
+        callback.onFailure(ReportFailure.REFUSED);
         return;
       }
       if (mute.contains(box.id())) {
-        callback.onSilence(ReportFailure.NO_ANSWER);
+        callback.onFailure(ReportFailure.NO_ANSWER);
         return;
       }
       Membership membership = memberships.get(box.id());
