--- a/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
@@ -87,7 +87,7 @@
     reach.recordAsked(box.id(), nowNanos);
     engines.ask(
         box,
-        new Engines.AskCallback() {
+        new Engines.ReportCallback() {
           @Override
           public void onReport(FleetBox newest) {
             reach.recordReport(box.id(), nowNanos);
--- a/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
@@ -11,7 +11,7 @@
  */
 public interface Engines {
   /** Asks an engine where it stands. */
-  void ask(FleetBox box, AskCallback callback);
+  void ask(FleetBox box, ReportCallback callback);
 
   /**
    * Gives an engine an order.
@@ -21,7 +21,7 @@
   void order(FleetBox box, BoxOrder order, long fence, OrderCallback callback);
 
   /** Hears what an engine says of itself. */
-  interface AskCallback {
+  interface ReportCallback {
     /** Tells the box with its engine's newest report. */
     void onReport(FleetBox newest);
 
