--- a/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
@@ -85,7 +85,7 @@
       return;
     }
     reach.recordAsked(box.id(), nowNanos);
-    engines.ask(
+    engines.requestReport(
         box,
         new Engines.ReportCallback() {
           @Override
--- a/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
@@ -11,7 +11,7 @@
  */
 public interface Engines {
   /** Asks an engine where it stands. */
-  void ask(FleetBox box, ReportCallback callback);
+  void requestReport(FleetBox box, ReportCallback callback);
 
   /**
    * Gives an engine an order.
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void ask(FleetBox box, ReportCallback callback) {
+    public void requestReport(FleetBox box, ReportCallback callback) {
       asked.add(box.id());
       if (refusing.contains(box.id())) {
         callback.onFailure(ReportFailure.REFUSED);
