--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -270,7 +270,7 @@
     stalls.setSuspicionListener(
         head -> {
           mesh.suspect(Set.of(head));
-          replicas.hurry();
+          replicas.scheduleReconcile();
         });
     mesh.setSuspicionListener(this::learnSuspicions);
     backpressure.setLimitListener(mesh::hurry);
@@ -443,7 +443,7 @@
   private boolean learnSuspicions(Set<String> heads) {
     boolean isNew = stalls.suspectByPeer(heads);
     if (isNew) {
-      replicas.hurry();
+      replicas.scheduleReconcile();
     }
     return isNew;
   }
--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainWatch.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
@@ -19,19 +19,25 @@
 import org.shoreroad.fleet.ReplicaId;
 
 /**
- * Sees the boxes of domains for their keepers: asks those of which more must be known, and tells a
- * box that is dead from one that is only cut off. Used on the event loop.
+ * Observer of the boxes of fabric domains for the decisions of the lease holder.
+ *
+ * <p>Requests status reports from the boxes whose state is in doubt or about to change, and
+ * distinguishes a dead box from one that is only unreachable. Not thread-safe: used on the event
+ * loop.
  */
-final class DomainWatch {
-  /** Between two questions to a head that ends its work. */
+final class DomainObserver {
+  /** Interval between report requests to a head that finishes its work before it closes. */
   private static final long BUSY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(140);
 
-  /** Between two questions to a box that joins, or whose replica stands still. */
+  /**
+   * Interval between report requests to a box that joins, or whose replica has a suspected head.
+   */
   private static final long FORMING_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(60);
 
-  /** A report of an engine confirms where it stands for this long after it was asked. */
+  /** A report confirms the state of an engine for this long after the request for it. */
   private static final long CONFIRMED_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
+  /** Interval between report requests to all boxes while a decision needs confirmed states. */
   private static final long CONFIRMING_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   /** Maximum interval between report requests to a joining box: before it is due, or long after. */
@@ -43,70 +49,71 @@
    */
   private static final long OVERDUE_PARTS = 5;
 
-  /** To a box that did not answer, for the first second. */
+  /** Interval between report requests to a silent box during the first second of its silence. */
   private static final long NEWLY_SILENT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(130);
 
-  /** To a box that did not answer. */
+  /** Interval between report requests to a box that has been silent for longer. */
   private static final long SILENT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
   private static final long NEWLY_SILENT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /**
-   * Beyond the time in which an engine breaks a replica that lost a member. That time runs from the
-   * loss, and this process counts from the first silence, which is later.
+   * Margin on the time after which an engine breaks a replica that lost a member. That time starts
+   * at the loss; this process counts from the first unanswered request, which is later.
    */
   private static final int STALL_MARGIN_MS = 400;
 
   /**
-   * A deregistered box closes its listener but may finish running requests for up to 10 s. One
-   * second of margin.
+   * Time for which a deregistered box may still run requests. It closes its listener at once and
+   * finishes running requests for up to 10 s; one second of margin.
    */
   private static final long LEAVING_NANOS = TimeUnit.SECONDS.toNanos(11);
 
   private final LongSupplier clockNanos;
   private final Fleet fleet;
-  private final EngineContact contact;
+  private final EngineMonitor monitor;
   private final FailureDetector failureDetector;
   private final Supplier<Set<String>> alivePeers;
-  private final long certainNanos;
+  private final long replicaBreakNanos;
   private final Set<ReplicaId> headsSeen = new HashSet<>();
   private final Set<String> busyDomains = new HashSet<>();
 
-  DomainWatch(
+  DomainObserver(
       LongSupplier clockNanos,
       Fleet fleet,
-      EngineContact contact,
+      EngineMonitor monitor,
       FailureDetector failureDetector,
       Supplier<Set<String>> alivePeers,
       int stallMs) {
     this.clockNanos = clockNanos;
     this.fleet = fleet;
-    this.contact = contact;
+    this.monitor = monitor;
     this.failureDetector = failureDetector;
     this.alivePeers = alivePeers;
-    this.certainNanos = TimeUnit.MILLISECONDS.toNanos(stallMs + STALL_MARGIN_MS);
+    this.replicaBreakNanos = TimeUnit.MILLISECONDS.toNanos(stallMs + STALL_MARGIN_MS);
   }
 
   /**
-   * Returns the boxes as they are seen now, and asks those of which more must be known.
+   * Returns the current observations of the boxes, and requests reports where they are needed.
    *
-   * @param key names the service and the domain
-   * @param keeper what is under way in the domain
+   * @param key the key of the service and the domain
+   * @param controller the controller of the domain
    * @param boxes the boxes of the domain
-   * @param suspected the heads that stand still
+   * @param suspected the heads whose requests make no progress
    */
-  List<ObservedBox> look(
-      String key, DomainKeeper keeper, List<FleetBox> boxes, Set<String> suspected) {
+  List<ObservedBox> observe(
+      String key, DomainKeeper controller, List<FleetBox> boxes, Set<String> suspected) {
     long nowNanos = clockNanos.getAsLong();
-    boxes.forEach(this::findUnlistedHead);
-    Set<String> doubtful = findDoubtful(boxes, suspected);
-    askBoxes(key, keeper, boxes, doubtful, nowNanos);
+    boxes.forEach(this::addUnlistedHead);
+    Set<String> suspectedMembers = findSuspectedMembers(boxes, suspected);
+    requestReports(key, controller, boxes, suspectedMembers, nowNanos);
     List<ObservedBox> observedBoxes = new ArrayList<>();
     for (FleetBox box : boxes) {
       FleetBox newest = fleet.find(box.id());
       if (newest != null) {
         boolean isStandingStill = suspected.contains(box.id());
-        observedBoxes.add(observe(newest, doubtful.contains(box.id()), isStandingStill, nowNanos));
+        observedBoxes.add(
+            observeBox(newest, suspectedMembers.contains(box.id()), isStandingStill, nowNanos));
       }
     }
     return observedBoxes;
@@ -117,7 +124,7 @@
     return headsSeen;
   }
 
-  /** Returns true if a replica is formed or closed in any domain. */
+  /** Returns true if a replica is being formed or closed in any domain. */
   boolean isAnyBusy() {
     return !busyDomains.isEmpty();
   }
@@ -131,10 +138,10 @@
   }
 
   /**
-   * Makes the head of a box's replica known by what the replica's name tells, if the list does not
-   * hold it: it may serve on without the store.
+   * Adds the head of a box's replica to the fleet if the list lacks it, since it may continue to
+   * serve while it cannot reach the store. The name of the replica contains its id and address.
    */
-  private void findUnlistedHead(FleetBox box) {
+  private void addUnlistedHead(FleetBox box) {
     Membership membership = box.membership();
     if (membership == null || headsSeen.contains(membership.replica())) {
       return;
@@ -146,7 +153,7 @@
       return;
     }
     Membership assumed = new Membership(replica, 0, MemberState.OPEN);
-    boolean mayLive =
+    boolean mayRun =
         fleet.addUnlisted(
             new FleetBox(
                 headId,
@@ -159,79 +166,84 @@
                 null,
                 List.of(),
                 assumed));
-    if (!mayLive) {
+    if (!mayRun) {
       headsSeen.add(replica);
     }
   }
 
-  private ObservedBox observe(
-      FleetBox box, boolean isDoubtful, boolean isStandingStill, long nowNanos) {
-    ReachabilityTable reach = contact.reach();
+  private ObservedBox observeBox(
+      FleetBox box, boolean isSuspect, boolean isStandingStill, long nowNanos) {
+    ReachabilityTable reachability = monitor.reachability();
     boolean isListed = fleet.isListed(box.id());
-    Reach reached = reach.reach(box.id(), isDoubtful, nowNanos);
+    Reach reached = reachability.reach(box.id(), isSuspect, nowNanos);
     if (reached == Reach.LOST) {
-      // The others need time to ask the box, so they are told before the list tells.
+      // The peers need time to try the box, so they are asked before the entry is removed.
       failureDetector.raise(box.id(), box.address());
     }
     if (reached == Reach.LOST && !isListed) {
-      // A head that only was cut off has been broken by its own engine by then.
-      long limitNanos = reach.isRefusing(box.id()) ? LEAVING_NANOS : certainNanos;
-      boolean isLong = reach.silentNanos(box.id(), nowNanos) > limitNanos;
-      if (isLong && failureDetector.isSilentForAll(box.id(), alivePeers.get())) {
+      // If the head was only unreachable, its own engine has broken the replica by then.
+      long limitNanos = reachability.isRefusing(box.id()) ? LEAVING_NANOS : replicaBreakNanos;
+      boolean isCertain = reachability.silentNanos(box.id(), nowNanos) > limitNanos;
+      if (isCertain && failureDetector.isSilentForAll(box.id(), alivePeers.get())) {
         reached = Reach.GONE;
       }
     }
-    boolean isSteady = reach.isSteady(box.id(), certainNanos, nowNanos);
-    boolean isConfirmed = reach.hasReport(box.id(), CONFIRMED_NANOS, nowNanos);
+    boolean isSteady = reachability.isSteady(box.id(), replicaBreakNanos, nowNanos);
+    boolean isConfirmed = reachability.hasReport(box.id(), CONFIRMED_NANOS, nowNanos);
     String lastModel = fleet.lastModel(box.id());
-    // A box whose entry is gone for good serves on for a while, as one that said that it leaves.
+    // A box whose entry was removed serves on for a while, like one that announced its end.
     FleetBox seen = fleet.isEligible(box.id()) ? box : box.withLeaving();
     return new ObservedBox(
         seen, isListed, reached, isSteady, isConfirmed, isStandingStill, lastModel);
   }
 
-  /** Returns the members of all replicas whose heads are suspected. */
-  private static Set<String> findDoubtful(List<FleetBox> boxes, Set<String> suspected) {
+  /** Returns the ids of the members of all replicas whose heads are suspected. */
+  private static Set<String> findSuspectedMembers(List<FleetBox> boxes, Set<String> suspected) {
     Set<ReplicaId> replicas = new HashSet<>();
     for (FleetBox box : boxes) {
       if (box.membership() != null && suspected.contains(box.id())) {
         replicas.add(box.membership().replica());
       }
     }
-    Set<String> doubtful = new HashSet<>();
+    Set<String> suspectedMembers = new HashSet<>();
     for (FleetBox box : boxes) {
       if (box.membership() != null && replicas.contains(box.membership().replica())) {
-        doubtful.add(box.id());
+        suspectedMembers.add(box.id());
       }
     }
-    return doubtful;
+    return suspectedMembers;
   }
 
-  /** Asks the boxes of a domain, each as often as what happens there needs. */
-  private void askBoxes(
-      String key, DomainKeeper keeper, List<FleetBox> boxes, Set<String> doubtful, long nowNanos) {
-    if (keeper.isBusy()) {
+  /** Requests reports from the boxes of a domain, each at the interval that its state needs. */
+  private void requestReports(
+      String key,
+      DomainKeeper controller,
+      List<FleetBox> boxes,
+      Set<String> suspectedMembers,
+      long nowNanos) {
+    if (controller.isBusy()) {
       busyDomains.add(key);
     } else {
       busyDomains.remove(key);
     }
-    Map<String, Long> formingDueNanos = keeper.formingDueNanos();
-    Set<String> closing = keeper.closingHeadIds();
+    Map<String, Long> formingDueNanos = controller.formingDueNanos();
+    Set<String> closing = controller.closingHeadIds();
     for (FleetBox box : boxes) {
       String id = box.id();
-      if (contact.reach().isSilent(id) || !fleet.isListed(id)) {
-        boolean isNew = contact.reach().silentNanos(id, nowNanos) < NEWLY_SILENT_NANOS;
+      if (monitor.reachability().isSilent(id) || !fleet.isListed(id)) {
+        boolean isNew = monitor.reachability().silentNanos(id, nowNanos) < NEWLY_SILENT_NANOS;
         long intervalNanos = isNew ? NEWLY_SILENT_INTERVAL_NANOS : SILENT_INTERVAL_NANOS;
-        contact.ask(box, intervalNanos, nowNanos);
-      } else if (doubtful.contains(id)) {
-        contact.ask(box, FORMING_INTERVAL_NANOS, nowNanos);
-      } else if (formingDueNanos.containsKey(id) && contact.reportsCount(id, nowNanos)) {
-        contact.ask(box, formingIntervalNanos(nowNanos - formingDueNanos.get(id)), nowNanos);
+        monitor.requestReport(box, intervalNanos, nowNanos);
+      } else if (suspectedMembers.contains(id)) {
+        monitor.requestReport(box, FORMING_INTERVAL_NANOS, nowNanos);
+      } else if (formingDueNanos.containsKey(id) && monitor.acceptsReports(id, nowNanos)) {
+        monitor.requestReport(
+            box, formingIntervalNanos(nowNanos - formingDueNanos.get(id)), nowNanos);
       } else if (closing.contains(id)) {
-        contact.ask(box, BUSY_INTERVAL_NANOS, nowNanos);
+        monitor.requestReport(box, BUSY_INTERVAL_NANOS, nowNanos);
       }
-      if (keeper.needsReports()) {
-        contact.ask(box, CONFIRMING_INTERVAL_NANOS, nowNanos);
+      if (controller.needsReports()) {
+        monitor.requestReport(box, CONFIRMING_INTERVAL_NANOS, nowNanos);
       }
     }
   }
@@ -244,8 +256,8 @@
     return Math.min(LOADING_INTERVAL_NANOS, intervalNanos);
   }
 
-  /** Forgets boxes and replicas that are gone. */
-  void forgetOthers() {
+  /** Forgets boxes and replicas that no longer exist. */
+  void forgetStale() {
     Set<String> known = new HashSet<>(failureDetector.askedByPeers().keySet());
     Set<ReplicaId> replicas = new HashSet<>();
     for (FleetBox box : fleet.boxes()) {
@@ -258,7 +270,7 @@
         }
       }
     }
-    contact.retain(known);
+    monitor.retain(known);
     headsSeen.retainAll(replicas);
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/replica/EngineContact.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/EngineMonitor.java
@@ -15,112 +15,112 @@
 import org.shoreroad.fleet.Membership;
 
 /**
- * Asks engines where they stand, and keeps what they said and which of them are silent.
+ * Monitor of engines: requests their status reports, collects them, and records which engines do
+ * not answer.
  *
- * <p>A report tells the state of some hundred milliseconds ago, while the answer to an order tells
- * that it is done. So the effect of an order that was taken counts at once, and reports count again
- * when they must show it. After a loss, closing, leaving and joining then follow each other within
- * 40 ms in place of 0.7 s (from the orders in the logs of one loss, before and after). Used on the
- * event loop.
+ * <p>A report shows the state of some hundred milliseconds ago, while the answer to an order shows
+ * that it is done. So the effect of an accepted order is applied at once, and reports are ignored
+ * until they must show it. After the loss of a box, the orders to close, leave and join then follow
+ * each other within 40 ms instead of 0.7 s. Not thread-safe: used on the event loop.
  */
-final class EngineContact {
-  /** Added to the age of a report: an order and a question may overtake each other. */
+final class EngineMonitor {
+  /** Added to the age of a report, since an order and a report request may be reordered. */
   private static final long REPORT_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final LongSupplier clockNanos;
   private final EventLog log;
   private final Fleet fleet;
   private final Engines engines;
-  private final ReachabilityTable reach = new ReachabilityTable();
+  private final ReachabilityTable reachability = new ReachabilityTable();
   private final Map<String, FleetBox> reports = new HashMap<>();
-  private final Map<String, Long> reportsCountFromNanos = new HashMap<>();
+  private final Map<String, Long> acceptReportsFromNanos = new HashMap<>();
   private Runnable onUrgentChange = () -> {};
   private Runnable onAnswer = () -> {};
 
-  EngineContact(LongSupplier clockNanos, EventLog log, Fleet fleet, Engines engines) {
+  EngineMonitor(LongSupplier clockNanos, EventLog log, Fleet fleet, Engines engines) {
     this.clockNanos = clockNanos;
     this.log = log;
     this.fleet = fleet;
     this.engines = engines;
   }
 
-  /** Sets what is done when the head of a replica has changed, which other processes wait for. */
+  /** Sets the listener for changed heads, which other processes must learn of quickly. */
   void setUrgentChangeListener(Runnable listener) {
     onUrgentChange = listener;
   }
 
-  /** Sets what is done when a box has answered or has fallen silent. */
+  /** Sets the listener that is called when a box has answered or failed to answer. */
   void setAnswerListener(Runnable listener) {
     onAnswer = listener;
   }
 
-  /** Returns which boxes answer. */
-  ReachabilityTable reach() {
-    return reach;
+  /** Returns the table of the boxes that answer. */
+  ReachabilityTable reachability() {
+    return reachability;
   }
 
-  /** Forgets a box: it is gone, or has started again. */
+  /** Forgets a box that has ended or restarted. */
   void forget(String id) {
-    reach.forget(id);
-    reportsCountFromNanos.remove(id);
+    reachability.forget(id);
+    acceptReportsFromNanos.remove(id);
     reports.remove(id);
   }
 
-  /** Forgets all other boxes: they are gone. */
+  /** Forgets all other boxes, which no longer exist. */
   void retain(Set<String> ids) {
-    reach.retain(ids);
-    reportsCountFromNanos.keySet().retainAll(ids);
+    reachability.retain(ids);
+    acceptReportsFromNanos.keySet().retainAll(ids);
   }
 
-  /** Returns what is newly known of boxes; the next call returns only later reports. */
+  /** Returns the boxes with new reports; the next call returns only later ones. */
   List<FleetBox> takeReports() {
     List<FleetBox> taken = List.copyOf(reports.values());
     reports.clear();
     return taken;
   }
 
-  /** Asks a box, unless it was asked within the interval or an answer is awaited. */
-  void ask(FleetBox box, long intervalNanos, long nowNanos) {
-    if (!reach.isDue(box.id(), intervalNanos, nowNanos)) {
+  /** Requests a report, unless one was requested within the interval or is still awaited. */
+  void requestReport(FleetBox box, long intervalNanos, long nowNanos) {
+    if (!reachability.isDue(box.id(), intervalNanos, nowNanos)) {
       return;
     }
-    reach.recordAsked(box.id(), nowNanos);
+    reachability.recordRequest(box.id(), nowNanos);
     engines.requestReport(
         box,
         new Engines.ReportCallback() {
           @Override
           public void onReport(FleetBox newest) {
-            reach.recordReport(box.id(), nowNanos);
-            if (reportsCount(box.id(), nowNanos)) {
-              takeAnswer(box, newest);
+            reachability.recordReport(box.id(), nowNanos);
+            if (acceptsReports(box.id(), nowNanos)) {
+              acceptReport(box, newest);
             }
             onAnswer.run();
           }
 
           @Override
-          public void onFailure(Engines.ReportFailure silence) {
-            log.write("box_silent", "box", box.id(), "address", box.address(), "why", silence);
-            recordSilence(box.id(), silence);
+          public void onFailure(Engines.ReportFailure failure) {
+            log.write("box_silent", "box", box.id(), "address", box.address(), "why", failure);
+            recordFailure(box.id(), failure);
             onAnswer.run();
           }
         });
   }
 
-  /** Returns true if a report that is asked for now shows the effect of the last order. */
-  boolean reportsCount(String id, long nowNanos) {
-    return nowNanos >= reportsCountFromNanos.getOrDefault(id, Long.MIN_VALUE);
+  /** Returns true if a report that is requested now shows the effect of the last order. */
+  boolean acceptsReports(String id, long nowNanos) {
+    return nowNanos >= acceptReportsFromNanos.getOrDefault(id, Long.MIN_VALUE);
   }
 
-  /** Takes over what an order does to a box that has said that it carries the order out. */
-  void noteTaken(BoxOrder order, int reportLagMs) {
+  /** Applies the effect of an order that the box has accepted. */
+  void applyAccepted(BoxOrder order, int reportLagMs) {
     FleetBox box = fleet.find(order.boxId());
-    boolean takesTime = order.verb() == Verb.OPEN || order.verb() == Verb.STAGE;
-    if (box == null || takesTime) {
+    boolean isSlow = order.verb() == Verb.OPEN || order.verb() == Verb.STAGE;
+    if (box == null || isSlow) {
       return;
     }
     long lagNanos = TimeUnit.MILLISECONDS.toNanos(reportLagMs) + REPORT_MARGIN_NANOS;
-    reportsCountFromNanos.put(box.id(), clockNanos.getAsLong() + lagNanos);
-    take(withEffect(box, order));
+    acceptReportsFromNanos.put(box.id(), clockNanos.getAsLong() + lagNanos);
+    applyReport(withEffect(box, order));
     onAnswer.run();
   }
 
@@ -155,25 +155,25 @@
   }
 
   /**
-   * Takes a report. If another incarnation than the asked one is known by now, the report may be
-   * older than that, and does not count if it is of a third one.
+   * Applies a report. If the known incarnation is no longer the one that was asked, the report may
+   * be older than it, so a report of any other incarnation is ignored.
    */
-  private void takeAnswer(FleetBox asked, FleetBox newest) {
+  private void acceptReport(FleetBox asked, FleetBox newest) {
     FleetBox known = fleet.find(asked.id());
-    boolean isAskedOne = known != null && known.bornMs() == asked.bornMs();
-    if (isAskedOne || known == null || !newest.isOtherIncarnationOf(known)) {
-      take(newest);
+    boolean isAskedIncarnation = known != null && known.bornMs() == asked.bornMs();
+    if (isAskedIncarnation || known == null || !newest.isOtherIncarnationOf(known)) {
+      applyReport(newest);
     }
   }
 
-  private void take(FleetBox newest) {
-    FleetBox before = fleet.find(newest.id());
+  private void applyReport(FleetBox newest) {
+    FleetBox previous = fleet.find(newest.id());
     if (!fleet.update(newest)) {
       return;
     }
     logReport(newest);
     reports.put(newest.id(), newest);
-    if (newest.isHead() || (before != null && before.isHead())) {
+    if (newest.isHead() || (previous != null && previous.isHead())) {
       onUrgentChange.run();
     }
   }
@@ -191,12 +191,12 @@
         String.valueOf(report.membership()));
   }
 
-  private void recordSilence(String id, Engines.ReportFailure silence) {
-    boolean isRefused = silence == Engines.ReportFailure.REFUSED;
+  private void recordFailure(String id, Engines.ReportFailure failure) {
+    boolean isRefused = failure == Engines.ReportFailure.REFUSED;
     FleetBox known = fleet.find(id);
-    // A box that is to stay and does not listen has crashed; one that leaves may still be at work.
-    boolean isToStay = known != null && !known.isLeaving() && fleet.isListed(id);
-    boolean isGone = silence == Engines.ReportFailure.GONE || (isRefused && isToStay);
-    reach.recordSilence(id, isGone, isRefused, clockNanos.getAsLong());
+    // A refusing box that was to stay has crashed; a leaving one may still finish its requests.
+    boolean isStaying = known != null && !known.isLeaving() && fleet.isListed(id);
+    boolean isGone = failure == Engines.ReportFailure.GONE || (isRefused && isStaying);
+    reachability.recordFailure(id, isGone, isRefused, clockNanos.getAsLong());
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/Engines.java
@@ -4,59 +4,60 @@
 import org.shoreroad.fleet.FleetBox;
 
 /**
- * The engines of boxes, as far as this system asks and orders them. Callbacks come on the event
- * loop.
+ * Client of the engines that run on the boxes: requests their status and sends them orders.
+ *
+ * <p>Used on the event loop, on which the callbacks are called too.
  *
  * @since 0.2
  */
 public interface Engines {
-  /** Asks an engine where it stands. */
+  /** Requests a status report from an engine. */
   void requestReport(FleetBox box, ReportCallback callback);
 
   /**
-   * Gives an engine an order.
+   * Sends an order to an engine.
    *
    * @param fence the fencing number; an engine that has seen a higher one refuses
    */
   void order(FleetBox box, BoxOrder order, long fence, OrderCallback callback);
 
-  /** Hears what an engine says of itself. */
+  /** Receives the result of a report request. */
   interface ReportCallback {
-    /** Tells the box with its engine's newest report. */
+    /** Called with the box in the state that its engine reported. */
     void onReport(FleetBox newest);
 
-    /** Tells that it did not answer. */
-    void onFailure(ReportFailure silence);
+    /** Called if the engine did not answer. */
+    void onFailure(ReportFailure failure);
   }
 
-  /** Hears how an order was taken. */
+  /** Receives the outcome of an order. */
   @FunctionalInterface
   interface OrderCallback {
-    /** Tells the outcome. */
+    /** Called once with the outcome. */
     void onOutcome(OrderOutcome outcome);
   }
 
-  /** Why an engine did not answer. */
+  /** Reason why an engine did not report. */
   enum ReportFailure {
-    /** Nothing came in time. */
+    /** No answer arrived in time. */
     NO_ANSWER,
-    /** Nobody listens at the address: the upstream has crashed, or leaves and ends what it has. */
+    /** The connection was refused: the upstream crashed, or leaves and finishes its requests. */
     REFUSED,
     /** Another upstream, or another incarnation, answers at the address. */
     GONE
   }
 
-  /** How an order was taken. */
+  /** Outcome of an order. */
   enum OrderOutcome {
-    /** Begun, or done already. */
+    /** The engine has begun to carry out the order, or had done so before. */
     TAKEN,
-    /** It does not fit the engine's state. */
+    /** The order does not fit the engine's state. */
     NOT_FITTING,
-    /** A higher fencing number, or a later formation, was seen there. */
+    /** The engine has seen a higher fencing number or a later formation. */
     OUTDATED,
     /** Another upstream, or another incarnation, answers at the address. */
     ELSEWHERE,
-    /** No answer: it may be carried out, also much later. */
+    /** No answer: the order may still be carried out, even much later. */
     UNANSWERED
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReachabilityTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReachabilityTable.java
@@ -7,51 +7,53 @@
 import org.shoreroad.fleet.ObservedBox.Reach;
 
 /**
- * Table of the boxes that answered when they were last asked. Used on the event loop.
+ * Table of boxes with the results of their last report requests. Not thread-safe: used on the event
+ * loop.
  *
  * @since 0.2
  */
 final class ReachabilityTable {
-  /** Silent answers in a row after which a box counts as lost. */
-  private static final int SILENCES = 2;
+  /** Consecutive unanswered requests after which a box is lost. */
+  private static final int LOST_AFTER_FAILURES = 2;
 
-  /** How long a box must be silent in any case: one answer may be lost or late. */
-  private static final long LEAST_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(350);
+  /** Time after an unanswered request, since one answer may be lost or late. */
+  private static final long LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(350);
 
   private final Map<String, Entry> entries = new HashMap<>();
 
-  void recordAsked(String id, long nowNanos) {
+  void recordRequest(String id, long nowNanos) {
     Entry entry = entries.computeIfAbsent(id, key -> new Entry());
-    entry.askedNanos = nowNanos;
-    entry.isAsking = true;
+    entry.requestedNanos = nowNanos;
+    entry.isAwaitingReport = true;
   }
 
   void recordReport(String id, long nowNanos) {
     Entry entry = entries.computeIfAbsent(id, key -> new Entry());
     entry.reportNanos = nowNanos;
-    entry.isAsking = false;
-    entry.silences = 0;
+    entry.isAwaitingReport = false;
+    entry.failures = 0;
     entry.isGone = false;
   }
 
-  void recordSilence(String id, boolean isGone, boolean isRefusing, long nowNanos) {
+  void recordFailure(String id, boolean isGone, boolean isRefusing, long nowNanos) {
     Entry entry = entries.computeIfAbsent(id, key -> new Entry());
     entry.isRefusing = isRefusing;
-    entry.isAsking = false;
+    entry.isAwaitingReport = false;
     entry.isGone |= isGone;
-    if (entry.silences == 0) {
+    if (entry.failures == 0) {
       entry.silentSinceNanos = nowNanos;
     }
-    entry.silences++;
-    entry.lastSilenceNanos = nowNanos;
+    entry.failures++;
+    entry.lastFailureNanos = nowNanos;
   }
 
   /**
    * Returns whether a box can be reached.
    *
-   * @param isDoubtful true if its replica stands still, so that one silence is enough
+   * @param isSuspect true if its replica makes no progress, so that one unanswered request is
+   *     enough
    */
-  Reach reach(String id, boolean isDoubtful, long nowNanos) {
+  Reach reach(String id, boolean isSuspect, long nowNanos) {
     Entry entry = entries.get(id);
     if (entry == null) {
       return Reach.LIKELY;
@@ -60,45 +62,46 @@
       return Reach.GONE;
     }
     boolean isSilent =
-        entry.silences >= (isDoubtful ? 1 : SILENCES)
-            || (entry.silences > 0 && nowNanos - entry.silentSinceNanos > LEAST_SILENCE_NANOS);
+        entry.failures >= (isSuspect ? 1 : LOST_AFTER_FAILURES)
+            || (entry.failures > 0 && nowNanos - entry.silentSinceNanos > LOST_AFTER_NANOS);
     return isSilent ? Reach.LOST : Reach.LIKELY;
   }
 
-  /** Returns true if the box answered a question that was asked within the time. */
+  /** Returns true if the box answered a request that was sent within the time. */
   boolean hasReport(String id, long withinNanos, long nowNanos) {
     Entry entry = entries.get(id);
     return entry != null && nowNanos - entry.reportNanos < withinNanos;
   }
 
-  /** Returns true if the box has not been silent within the time. */
+  /** Returns true if the box left no request unanswered within the time. */
   boolean isSteady(String id, long withinNanos, long nowNanos) {
     Entry entry = entries.get(id);
-    return entry == null || nowNanos - entry.lastSilenceNanos > withinNanos;
+    return entry == null || nowNanos - entry.lastFailureNanos > withinNanos;
   }
 
-  /** Returns how long the box has been silent whenever it was asked, or 0. */
+  /** Returns the time since the first of the unanswered requests in a row, or 0. */
   long silentNanos(String id, long nowNanos) {
     Entry entry = entries.get(id);
-    return entry == null || entry.silences == 0 ? 0 : nowNanos - entry.silentSinceNanos;
+    return entry == null || entry.failures == 0 ? 0 : nowNanos - entry.silentSinceNanos;
   }
 
-  /** Returns true if the box was not asked for that long and no answer is awaited. */
+  /** Returns true if the interval since the last request is over and no answer is awaited. */
   boolean isDue(String id, long intervalNanos, long nowNanos) {
     Entry entry = entries.get(id);
-    return entry == null || (!entry.isAsking && nowNanos - entry.askedNanos >= intervalNanos);
+    return entry == null
+        || (!entry.isAwaitingReport && nowNanos - entry.requestedNanos >= intervalNanos);
   }
 
-  /** Returns true if nobody listened at the box's address when it was last asked. */
+  /** Returns true if the box's address refused the last connection. */
   boolean isRefusing(String id) {
     Entry entry = entries.get(id);
-    return entry != null && entry.silences > 0 && entry.isRefusing;
+    return entry != null && entry.failures > 0 && entry.isRefusing;
   }
 
-  /** Returns true if the last answer was a silence. */
+  /** Returns true if the last request was not answered. */
   boolean isSilent(String id) {
     Entry entry = entries.get(id);
-    return entry != null && entry.silences > 0;
+    return entry != null && entry.failures > 0;
   }
 
   void forget(String id) {
@@ -110,12 +113,12 @@
   }
 
   private static final class Entry {
-    private long askedNanos = Long.MIN_VALUE / 2;
+    private long requestedNanos = Long.MIN_VALUE / 2;
     private long reportNanos = Long.MIN_VALUE / 2;
     private long silentSinceNanos;
-    private long lastSilenceNanos = Long.MIN_VALUE / 2;
-    private int silences;
-    private boolean isAsking;
+    private long lastFailureNanos = Long.MIN_VALUE / 2;
+    private int failures;
+    private boolean isAwaitingReport;
     private boolean isGone;
     private boolean isRefusing;
   }
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -30,30 +30,31 @@
 import org.shoreroad.traffic.UpstreamService;
 
 /**
- * Keeps the replicas of the domains whose lease this process holds.
+ * Service that forms, opens and closes the replicas of the domains whose lease this process holds.
  *
- * <p>Asks engines only where something is in doubt or under way, since each question has its price;
- * else the list tells enough. Used on the event loop.
+ * <p>Requests reports only from engines whose state is in doubt or about to change, since each
+ * request has a cost; for the others the list of upstreams is sufficient. Not thread-safe: used on
+ * the event loop.
  *
  * @since 0.2
  */
 public final class ReplicaService {
-  /** Between two decisions while something is under way; answers of engines come in between. */
+  /** Interval between reconciliations during a change; answers of engines trigger more. */
   private static final int BUSY_TICK_MS = 50;
 
-  /** Between two decisions else: only the list can bring changes that are not told at once. */
-  private static final int CALM_TICK_MS = 150;
+  /** Interval otherwise; every change except one of the list triggers a reconciliation at once. */
+  private static final int IDLE_TICK_MS = 150;
 
-  /** A process that keeps no domain only answers the questions of others, this often. */
+  /** Interval without a lease, when the process only requests reports on behalf of peers. */
   private static final int TICK_WITHOUT_DOMAIN_MS = 200;
 
-  /** Between two questions to a box on behalf of a peer, which has its own answers besides. */
-  private static final long PEERS_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  /** Interval between report requests on behalf of peers, which send their own as well. */
+  private static final long PEER_REQUEST_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** The members of a suspected head are asked for this long, about six times each. */
-  private static final long DOUBTFUL_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+  /** Time for which the members of a suspected head are asked, about six times each. */
+  private static final long SUSPECTED_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-  /** Boxes and replicas that are gone are forgotten this often. */
+  /** Interval between removals of boxes and replicas that no longer exist. */
   private static final long FORGET_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final RepeatingTimer timer;
@@ -62,17 +63,17 @@
   private final Fleet fleet;
   private final DomainLeases leases;
   private final Engines engines;
-  private final EngineContact contact;
+  private final EngineMonitor monitor;
   private final Supplier<@Nullable TrafficConfig> config;
   private final Supplier<Set<String>> suspectedHeads;
   private final Function<UpstreamService, Demand> demands;
   private final FailureDetector failureDetector;
-  private final DomainWatch watch;
-  private final Map<String, DomainKeeper> keepers = new HashMap<>();
+  private final DomainObserver observer;
+  private final Map<String, DomainKeeper> controllers = new HashMap<>();
   private final Map<String, Long> suspectedSinceNanos = new HashMap<>();
   private final Map<String, ServiceDomains> domainsByService = new HashMap<>();
-  private long forgottenNanos;
-  private boolean isHurried;
+  private long lastForgetNanos;
+  private boolean isReconcileScheduled;
 
   /** Creates a service; {@link #start} begins its timer. */
   public ReplicaService(
@@ -94,84 +95,83 @@
     this.fleet = fleet;
     this.leases = leases;
     this.engines = engines;
-    this.contact = new EngineContact(clockNanos, log, fleet, engines);
-    contact.setAnswerListener(this::hurry);
+    this.monitor = new EngineMonitor(clockNanos, log, fleet, engines);
+    monitor.setAnswerListener(this::scheduleReconcile);
     this.config = config;
     this.suspectedHeads = suspectedHeads;
     this.demands = demands;
     this.failureDetector = failureDetector;
-    this.watch = new DomainWatch(clockNanos, fleet, contact, failureDetector, alivePeers, stallMs);
+    this.observer =
+        new DomainObserver(clockNanos, fleet, monitor, failureDetector, alivePeers, stallMs);
   }
 
-  /** Sets what is done when the head of a replica has said something that others wait for. */
+  /** Sets the listener for changed heads, which other processes must learn of quickly. */
   public void setUrgentChangeListener(Runnable listener) {
-    contact.setUrgentChangeListener(listener);
+    monitor.setUrgentChangeListener(listener);
   }
 
-  /** Starts to keep. */
+  /** Starts the timer. */
   public void start() {
-    timer.every(this::tickMs, "replicas", this::tick);
+    timer.every(this::tickIntervalMs, "replicas", this::tick);
   }
 
-  private int tickMs() {
+  private int tickIntervalMs() {
     if (!leases.hasGrantedDomains()) {
       return TICK_WITHOUT_DOMAIN_MS;
     }
-    boolean isCalm = suspectedSinceNanos.isEmpty() && !watch.isAnyBusy();
-    return isCalm ? CALM_TICK_MS : BUSY_TICK_MS;
+    boolean isIdle = suspectedSinceNanos.isEmpty() && !observer.isAnyBusy();
+    return isIdle ? IDLE_TICK_MS : BUSY_TICK_MS;
   }
 
-  /** Decides anew right after what happens now, in place of at the next tick. */
-  public void hurry() {
-    if (!isHurried && leases.hasGrantedDomains()) {
-      isHurried = true;
-      timer.once(0, "replicas", this::keepHurried);
+  /** Schedules a reconciliation right after the current task, ahead of the next tick. */
+  public void scheduleReconcile() {
+    if (!isReconcileScheduled && leases.hasGrantedDomains()) {
+      isReconcileScheduled = true;
+      timer.once(0, "replicas", this::runScheduledReconcile);
     }
   }
 
-  private void keepHurried() {
-    isHurried = false;
-    keepAll();
+  private void runScheduledReconcile() {
+    isReconcileScheduled = false;
+    reconcileAll();
   }
 
   private void tick() {
-    keepAll();
-    answerPeers();
-    if (clockNanos.getAsLong() - forgottenNanos > FORGET_INTERVAL_NANOS) {
-      forgottenNanos = clockNanos.getAsLong();
-      watch.forgetOthers();
+    reconcileAll();
+    requestReportsForPeers();
+    if (clockNanos.getAsLong() - lastForgetNanos > FORGET_INTERVAL_NANOS) {
+      lastForgetNanos = clockNanos.getAsLong();
+      observer.forgetStale();
     }
   }
 
-  private void keepAll() {
+  private void reconcileAll() {
     TrafficConfig current = config.get();
     if (current == null) {
       return;
     }
     if (!leases.hasGrantedDomains()) {
-      keepers.clear();
-      watch.forgetDomains();
+      controllers.clear();
+      observer.forgetDomains();
       return;
     }
     for (UpstreamService service : current.services()) {
       EngineSpec engine = service.engine();
       if (engine != null) {
-        keepService(service, engine);
+        reconcileService(service, engine);
       }
     }
   }
 
-  /**
-   * Returns what engines have newly said to this process; the next call returns only later reports.
-   */
+  /** Returns the boxes with new reports to this process; the next call returns only later ones. */
   public List<FleetBox> takeReports() {
-    return contact.takeReports();
+    return monitor.takeReports();
   }
 
-  /** Forgets a box: it is gone, or has started again, and holds nothing of what it was given. */
+  /** Forgets a box that has ended or restarted, and with it the orders it was given. */
   public void forget(String id) {
-    contact.forget(id);
-    keepers.values().forEach(keeper -> keeper.forget(id));
+    monitor.forget(id);
+    controllers.values().forEach(controller -> controller.forget(id));
   }
 
   /** Returns the boxes that peers asked about and that do not answer this process either. */
@@ -179,30 +179,32 @@
     long nowNanos = clockNanos.getAsLong();
     Set<String> silent = new HashSet<>();
     for (String id : failureDetector.askedByPeers().keySet()) {
-      if (contact.reach().reach(id, false, nowNanos) != Reach.LIKELY) {
+      if (monitor.reachability().reach(id, false, nowNanos) != Reach.LIKELY) {
         silent.add(id);
       }
     }
     return silent;
   }
 
-  private void answerPeers() {
+  private void requestReportsForPeers() {
     long nowNanos = clockNanos.getAsLong();
     failureDetector
         .askedByPeers()
         .forEach(
             (id, address) -> {
               FleetBox known = fleet.find(id);
-              contact.ask(
-                  known == null ? strangerAt(id, address) : known, PEERS_INTERVAL_NANOS, nowNanos);
+              monitor.requestReport(
+                  known == null ? unknownBox(id, address) : known,
+                  PEER_REQUEST_INTERVAL_NANOS,
+                  nowNanos);
             });
   }
 
-  private static FleetBox strangerAt(String id, String address) {
+  private static FleetBox unknownBox(String id, String address) {
     return new FleetBox(id, "", address, "", 0, false, null, null, List.of(), null);
   }
 
-  private void keepService(UpstreamService service, EngineSpec engine) {
+  private void reconcileService(UpstreamService service, EngineSpec engine) {
     ServiceDomains known = domainsByService.get(service.name());
     if (known == null || known.listChanges() != fleet.listChanges() || known.engine() != engine) {
       known = deriveDomains(service, engine);
@@ -213,21 +215,21 @@
     for (String domain : known.names()) {
       String key = Fleet.domainKey(service.name(), domain);
       if (leases.holds(key)) {
-        keepDomain(key, domain, engine, fleet.boxesOf(key), known.plan(), suspected, demand);
+        reconcileDomain(key, domain, engine, fleet.boxesOf(key), known.plan(), suspected, demand);
       } else {
-        keepers.remove(key);
-        watch.forgetDomain(key);
+        controllers.remove(key);
+        observer.forgetDomain(key);
       }
     }
   }
 
-  /** Returns the heads that are suspected since a moment ago; the others have answered by now. */
+  /** Returns the heads suspected only recently; the others have had time to answer. */
   private Set<String> findNewlySuspected() {
     long nowNanos = clockNanos.getAsLong();
     Set<String> suspected = new HashSet<>(suspectedHeads.get());
     suspectedSinceNanos.keySet().retainAll(suspected);
     suspected.forEach(id -> suspectedSinceNanos.putIfAbsent(id, nowNanos));
-    suspected.removeIf(id -> nowNanos - suspectedSinceNanos.get(id) > DOUBTFUL_NANOS);
+    suspected.removeIf(id -> nowNanos - suspectedSinceNanos.get(id) > SUSPECTED_NANOS);
     return suspected;
   }
 
@@ -236,7 +238,7 @@
     String prefix = Fleet.domainKey(service.name(), "");
     for (String key : fleet.domains()) {
       if (key.startsWith(prefix)) {
-        sizes.put(key.substring(prefix.length()), countLasting(fleet.boxesOf(key)));
+        sizes.put(key.substring(prefix.length()), countStaying(fleet.boxesOf(key)));
       }
     }
     return new ServiceDomains(
@@ -244,21 +246,21 @@
   }
 
   /**
-   * The fabric domains of a service, as derived from the list.
+   * Fabric domains of a service, as derived from the list of upstreams.
    *
-   * @param listChanges the list's number of changes that this was derived at
+   * @param listChanges the number of list changes at the derivation
    * @param engine the engines that the plan was made for
    * @param names the names of the domains
-   * @param plan what each domain is to hold
+   * @param plan the planned replicas of each domain
    */
   private record ServiceDomains(
       long listChanges, EngineSpec engine, List<String> names, ReplicaPlan plan) {}
 
-  private int countLasting(List<FleetBox> boxes) {
+  private int countStaying(List<FleetBox> boxes) {
     return (int) boxes.stream().filter(box -> !box.isLeaving() && fleet.isListed(box.id())).count();
   }
 
-  private void keepDomain(
+  private void reconcileDomain(
       String key,
       String domain,
       EngineSpec engine,
@@ -267,15 +269,16 @@
       Set<String> suspected,
       Demand demand) {
     long nowNanos = clockNanos.getAsLong();
-    DomainKeeper keeper = keepers.computeIfAbsent(key, name -> takeDomain(key, domain, boxes));
-    List<ObservedBox> observedBoxes = watch.look(key, keeper, boxes, suspected);
-    boolean neededReports = keeper.needsReports();
-    keeper
-        .decide(nowNanos, engine, observedBoxes, plan, watch.headsSeen(), demand)
-        .forEach(order -> give(key, keeper, engine, order));
-    if (keeper.needsReports() && !neededReports) {
-      // The boxes are asked at once.
-      hurry();
+    DomainKeeper controller =
+        controllers.computeIfAbsent(key, name -> startDomain(key, domain, boxes));
+    List<ObservedBox> observedBoxes = observer.observe(key, controller, boxes, suspected);
+    boolean neededReports = controller.needsReports();
+    controller
+        .decide(nowNanos, engine, observedBoxes, plan, observer.headsSeen(), demand)
+        .forEach(order -> sendOrder(key, controller, engine, order));
+    if (controller.needsReports() && !neededReports) {
+      // Sends the report requests at once.
+      scheduleReconcile();
     }
     for (ObservedBox observed : observedBoxes) {
       if (observed.isDead() && !observed.isListed()) {
@@ -284,13 +287,13 @@
     }
   }
 
-  private DomainKeeper takeDomain(String key, String domain, List<FleetBox> boxes) {
+  private DomainKeeper startDomain(String key, String domain, List<FleetBox> boxes) {
     log.write(
         "domain_taken", "domain", key, "boxes", boxes.size(), "fence", leases.fencingNumber(key));
     return new DomainKeeper(domain, KeeperTiming.DEFAULT, () -> leases.nextEpoch(key));
   }
 
-  private void give(String key, DomainKeeper keeper, EngineSpec engine, BoxOrder order) {
+  private void sendOrder(String key, DomainKeeper controller, EngineSpec engine, BoxOrder order) {
     FleetBox box = fleet.find(order.boxId());
     if (box == null) {
       return;
@@ -307,10 +310,10 @@
             return;
           }
           if (outcome == Engines.OrderOutcome.TAKEN) {
-            keeper.noteTaken(order, clockNanos.getAsLong());
-            contact.noteTaken(order, engine.reportLagMs());
+            controller.noteTaken(order, clockNanos.getAsLong());
+            monitor.applyAccepted(order, engine.reportLagMs());
           } else if (outcome == Engines.OrderOutcome.NOT_FITTING) {
-            keeper.noteUnfit(order, clockNanos.getAsLong());
+            controller.noteUnfit(order, clockNanos.getAsLong());
           }
           logOrder(order, fence, outcome);
         });
--- a/edge/src/main/java/org/shoreroad/edge/replica/package-info.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/package-info.java
@@ -1,4 +1,4 @@
-/** Carries out the orders that form and mend replicas. */
+/** Formation and repair of replicas: observes engines and sends them orders. */
 @NullMarked
 package org.shoreroad.edge.replica;
 
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -42,7 +42,7 @@
 import org.shoreroad.traffic.TrafficConfig;
 import org.shoreroad.traffic.UpstreamService;
 
-/** Asking engines and giving them orders, with a clock that the test turns. */
+/** Tests of the reports requested from engines and the orders sent to them, on a manual clock. */
 class ReplicaServiceTest {
   private static final long FENCE = 7;
   private static final int STEP_MS = 50;
@@ -68,7 +68,7 @@
           () -> nowNanos,
           log,
           "me",
-          new Alone(),
+          new NoPeers(),
           fleet::domains);
   private final ReplicaService service =
       new ReplicaService(
@@ -90,7 +90,7 @@
     return new FleetBox(id, "llm", id + ":1", "z", 4, false, "d", null, staged, null);
   }
 
-  /** A store that gives the only partition to whoever asks. */
+  /** Store that grants the only partition to every caller. */
   private static final class GrantingStore implements LeaseStore {
     @Override
     public void join(
@@ -100,7 +100,7 @@
 
     @Override
     public void leave(String group, String member, long generation) {
-      // Nobody else is there.
+      // There is no other member.
     }
 
     @Override
@@ -109,8 +109,8 @@
     }
   }
 
-  /** No other process is known. */
-  private static final class Alone implements DomainLeases.Peers {
+  /** Peers of a process that is alone. */
+  private static final class NoPeers implements DomainLeases.Peers {
     @Override
     public Set<String> ownedDomains() {
       return Set.of();
@@ -127,14 +127,14 @@
     }
   }
 
-  /** Engines that answer at once and take every order; a join is ready at once, too. */
+  /** Engines that answer at once and accept every order; a join takes {@code joinNanos}. */
   private static final class FakeEngines implements Engines {
     private final Map<String, Membership> memberships = new HashMap<>();
     private final List<String> asked = new ArrayList<>();
     private final List<BoxOrder> orders = new ArrayList<>();
     private final List<Long> fences = new ArrayList<>();
     private final Set<String> refusing = new HashSet<>();
-    private final Set<String> mute = new HashSet<>();
+    private final Set<String> silent = new HashSet<>();
     private final Map<String, Long> readyAtNanos = new HashMap<>();
     private final LongSupplier clockNanos;
     private long joinNanos;
@@ -150,7 +150,7 @@
         callback.onFailure(ReportFailure.REFUSED);
         return;
       }
-      if (mute.contains(box.id())) {
+      if (silent.contains(box.id())) {
         callback.onFailure(ReportFailure.NO_ANSWER);
         return;
       }
@@ -200,86 +200,86 @@
             StorePosition.of(1, offset), id, "staged".getBytes(StandardCharsets.UTF_8)));
   }
 
-  private void run(int millis) {
+  private void advance(int millis) {
     for (int passed = 0; passed < millis; passed += STEP_MS) {
       long nanos = TimeUnit.MILLISECONDS.toNanos(STEP_MS);
       nowNanos += nanos;
       channel.advanceTimeBy(nanos, TimeUnit.NANOSECONDS);
-      // What a task schedules for at once is due only at the next call.
+      // A task that a task schedules without delay runs only at the next call.
       for (int i = 0; i < TASKS_AT_ONCE; i++) {
         channel.runScheduledPendingTasks();
       }
     }
   }
 
-  /** Lets the process claim its domains; the grants still have to settle. */
-  private void takeLeases() {
+  /** Acquires the leases; a new grant is usable only after a delay. */
+  private void acquireLeases() {
     leases.start();
-    run(1_700);
+    advance(1_700);
   }
 
   @Test
-  void withoutALeaseNothingIsAskedOrOrdered() {
+  void noReportsOrOrdersWithoutALease() {
     list("a");
     list("b");
     service.start();
-    run(3_000);
+    advance(3_000);
     assertThat(engines.asked, is(empty()));
     assertThat(engines.orders, is(empty()));
   }
 
   @Test
-  void theHolderOfADomainFormsItsReplicaWithTheFenceOfTheLease() {
+  void leaseHolderFormsTheReplicaWithTheFencingNumber() {
     list("a");
     list("b");
-    takeLeases();
+    acquireLeases();
     service.start();
-    run(3_000);
+    advance(3_000);
     assertThat(engines.count(BoxOrder.Verb.JOIN), is(2L));
     assertThat(engines.fences, everyItem(is(FENCE)));
     assertThat(engines.asked, hasItem("b"));
   }
 
   @Test
-  void boxesThatJoinAreAskedSeldomUntilTheyShouldBeReady() {
+  void joiningBoxesAreRarelyAskedBeforeTheyAreDue() {
     list("a");
     list("b");
     engines.joinNanos = TimeUnit.MILLISECONDS.toNanos(1_000);
-    takeLeases();
+    acquireLeases();
     service.start();
-    run(700);
+    advance(700);
     long joinedNanos = nowNanos;
     engines.asked.clear();
     while (engines.count(BoxOrder.Verb.JOIN) < 2) {
-      run(STEP_MS);
+      advance(STEP_MS);
       joinedNanos = nowNanos;
       engines.asked.clear();
     }
     while (nowNanos - joinedNanos < TimeUnit.MILLISECONDS.toNanos(850)) {
-      run(STEP_MS);
+      advance(STEP_MS);
     }
-    // Every 60 ms it would be 14 for each of the two; the loading of the weights takes a second.
+    // At 60 ms there would be 14 requests to each of the two boxes; the weights load in a second.
     assertThat(engines.asked.size(), lessThanOrEqualTo(4));
-    run(1_500);
+    advance(1_500);
     assertThat(engines.count(BoxOrder.Verb.OPEN), is(1L));
   }
 
   @Test
-  void anOpeningThatWasTakenIsNotOrderedAgainAtOnce() {
+  void acceptedOpenOrderIsNotRepeated() {
     list("a");
     list("b");
-    takeLeases();
+    acquireLeases();
     service.start();
-    run(3_500);
+    advance(3_500);
     assertThat(engines.count(BoxOrder.Verb.OPEN), is(1L));
   }
 
   private String formAndReturnHead() {
     list("a");
     list("b");
-    takeLeases();
+    acquireLeases();
     service.start();
-    run(3_500);
+    advance(3_500);
     listWithWeights("c", 50);
     return engines.orders.stream()
         .filter(order -> order.verb() == BoxOrder.Verb.OPEN)
@@ -288,51 +288,51 @@
         .boxId();
   }
 
-  private void takeOffTheList(String id) {
+  private void removeFromList(String id) {
     fleet.onRecord(new StoreRecord(StorePosition.of(1, 100), id, null));
     fleet.reconcile(TimeUnit.MINUTES.toNanos(1));
   }
 
   @Test
-  void aHeadWhoseEntryIsGoneIsClosedWhileItStillAnswers() {
+  void unlistedHeadThatAnswersIsClosed() {
     String head = formAndReturnHead();
-    takeOffTheList(head);
-    run(2_000);
+    removeFromList(head);
+    advance(2_000);
     assertThat(engines.count(BoxOrder.Verb.CLOSE_AFTER_WORK), is(1L));
   }
 
   @Test
-  void membersOfALeavingHeadThatListensNoMoreStayBoundUntilItMustHaveEnded() {
+  void membersOfRefusingUnlistedHeadStayBoundUntilItsRequestsHaveEnded() {
     String head = formAndReturnHead();
     engines.refusing.add(head);
-    takeOffTheList(head);
+    removeFromList(head);
     engines.orders.clear();
-    run(9_000);
+    advance(9_000);
     assertThat(engines.count(BoxOrder.Verb.JOIN), is(0L));
-    run(6_000);
+    advance(6_000);
     assertThat(engines.count(BoxOrder.Verb.JOIN), is(2L));
   }
 
   @Test
-  void aHeadThatIsToStayAndListensNoMoreHasCrashed() {
+  void listedHeadThatRefusesConnectionsHasCrashed() {
     String head = formAndReturnHead();
     engines.refusing.add(head);
     engines.orders.clear();
     suspected.add(head);
-    run(3_000);
+    advance(3_000);
     assertThat(engines.count(BoxOrder.Verb.JOIN), is(2L));
   }
 
   @Test
-  void anOrderFollowsTheAnswerToTheOneBefore() {
+  void nextOrderFollowsTheAnswerToThePreviousOne() {
     String head = formAndReturnHead();
     listWithWeights("c", 9);
     engines.refusing.add(head.equals("a") ? "b" : "a");
     engines.orders.clear();
     suspected.add(head);
-    run(STEP_MS);
+    advance(STEP_MS);
     long closedNanos = nowNanos;
-    run(STEP_MS);
+    advance(STEP_MS);
     assertThat(engines.count(BoxOrder.Verb.CLOSE_NOW), is(1L));
     assertThat(engines.count(BoxOrder.Verb.LEAVE), is(1L));
     assertThat(engines.count(BoxOrder.Verb.JOIN), is(2L));
@@ -348,20 +348,20 @@
     fleet.update(fleet.find("b").withEngineState("m", List.of("m"), former));
     fleet.update(fleet.find("b").withEngineState(null, List.of("m"), null));
     fleet.update(fleet.find(id).withEngineState("m", List.of("m"), engines.memberships.get(id)));
-    takeLeases();
+    acquireLeases();
     service.start();
   }
 
   @Test
-  void anUnlistedHeadIsFoundByTheNameOfItsReplicaAndKeepsItsMembersBound() {
+  void unlistedHeadIsFoundByTheReplicaNameAndKeepsItsMembersBound() {
     FleetBox head = decode("h", new byte[0]);
     ReplicaId replica = ReplicaId.of("d", "m", 3, head);
     engines.memberships.put("h", new Membership(replica, 0, MemberState.OPEN));
     startWithMember("a", replica);
-    run(2_000);
+    advance(2_000);
     assertThat(engines.asked, hasItem("h"));
     assertThat(fleet.isEligible("h"), is(false));
-    // It answers, so its work is ended by order before its member serves elsewhere.
+    // The head answers, so it is closed by orders before its member joins another replica.
     List<String> given =
         engines.orders.stream()
             .filter(order -> order.verb() != BoxOrder.Verb.STAGE)
@@ -372,36 +372,36 @@
   }
 
   @Test
-  void membersOfAnUnlistedHeadThatIsSilentStayBoundForTheStallTime() {
+  void membersOfSilentUnlistedHeadStayBoundForTheStallTime() {
     FleetBox head = decode("h", new byte[0]);
     ReplicaId replica = ReplicaId.of("d", "m", 3, head);
-    engines.mute.add("h");
+    engines.silent.add("h");
     startWithMember("a", replica);
-    run(5_000);
+    advance(5_000);
     assertThat(engines.count(BoxOrder.Verb.JOIN), is(0L));
-    run(3_000);
+    advance(3_000);
     assertThat(engines.count(BoxOrder.Verb.JOIN), is(2L));
   }
 
   @Test
-  void theReportOfAHeadIsUrgent() {
+  void reportOfAHeadIsUrgent() {
     int[] urgent = {0};
     service.setUrgentChangeListener(() -> urgent[0]++);
     list("a");
     list("b");
-    takeLeases();
+    acquireLeases();
     service.start();
-    run(3_000);
+    advance(3_000);
     assertThat(urgent[0] > 0, is(true));
     assertThat(service.takeReports().isEmpty(), is(false));
     assertThat(service.takeReports(), is(empty()));
   }
 
   @Test
-  void aBoxThatPeersAskAboutIsAskedWithoutALease() {
+  void boxThatPeersAskAboutIsAskedWithoutALease() {
     failureDetector.learn(Heartbeats.of("p").withQuestions(Map.of("a", "a:1"), Set.of()));
     service.start();
-    run(400);
+    advance(400);
     assertThat(engines.asked, hasItem("a"));
     assertThat(service.silentForPeers(), is(empty()));
   }
