--- a/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
+++ b/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
@@ -11,24 +11,25 @@
 import org.shoreroad.traffic.TrafficConfig;
 
 /**
- * View of the configuration that is in force here, with the age of the proof that it is the newest.
+ * View of the configuration that this process uses, with the age of the proof that it is the
+ * newest.
  *
- * <p>Versions only rise while a process runs. Used on the event loop.
+ * <p>The version never decreases while the process runs. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 public final class ConfigurationView implements Freshness, TopicFollower.Listener {
-  /** Kept back from the time to take a key away: the way of a request, and a late timer. */
+  /** Margin on the time to revoke a key, for the latency of a request and a late timer. */
   private static final int REVOKE_MARGIN_MS = 500;
 
-  /** What the way of a read adds to its waiting. */
-  private static final int READ_WAY_MS = 250;
+  /** Network latency of a read, in addition to its wait in the store. */
+  private static final int READ_LATENCY_MS = 250;
 
-  /** Five heartbeats: a peer that told a proof within this time still has one. */
+  /** A peer that reported a proof within this time still has one; five heartbeats. */
   private static final long PEER_PROOF_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  private static final int LONGEST_WAIT_MS = 2_000;
-  private static final int SHORTEST_WAIT_MS = 100;
+  private static final int MAX_WAIT_MS = 2_000;
+  private static final int MIN_WAIT_MS = 100;
 
   private final Decoder decoder;
   private final LongSupplier clockNanos;
@@ -46,13 +47,13 @@
   private int processCount = 1;
 
   /**
-   * Creates a holder that knows no configuration yet.
+   * Creates a view without a configuration.
    *
    * @param clockNanos the steady clock, not null
-   * @param elapsed the ages of proofs: a box that was suspended must not use a key that was taken
-   *     away meanwhile, not null
-   * @param revokeMs how long a key that was taken away may be used at most, in milliseconds
-   * @param isKeyProofRequired true if that bound must hold also while the store is out of reach
+   * @param elapsed the clock for the ages of proofs: a box that was suspended must not use a key
+   *     that was revoked meanwhile, not null
+   * @param revokeMs the longest time for which a revoked key may be used, in milliseconds
+   * @param isKeyProofRequired true if that limit must hold even while the store is unreachable
    */
   ConfigurationView(
       Decoder decoder,
@@ -70,12 +71,13 @@
   }
 
   /**
-   * Returns how long a read of the configuration may wait in the store, in milliseconds: a proof
-   * counts from the sending of its read and must last until the answer of the next one.
+   * Returns the longest time that a read of the configuration may wait in the store, in
+   * milliseconds. The age of a proof starts when its read is sent, and the proof must last until
+   * the answer to the next read.
    */
   static int readWaitMs(int revokeMs) {
-    int waitMs = (revokeMs - REVOKE_MARGIN_MS) / 2 - READ_WAY_MS;
-    return Math.max(SHORTEST_WAIT_MS, Math.min(LONGEST_WAIT_MS, waitMs));
+    int waitMs = (revokeMs - REVOKE_MARGIN_MS) / 2 - READ_LATENCY_MS;
+    return Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, waitMs));
   }
 
   void setFollower(TopicFollower configFollower) {
@@ -117,7 +119,7 @@
     return config;
   }
 
-  /** Returns true if the service is declared, and for all while no configuration is known. */
+  /** Returns true if the service is declared, or if there is no configuration yet. */
   boolean isDeclared(String service) {
     return config == null || config.findService(service).isPresent();
   }
@@ -137,10 +139,10 @@
   }
 
   /**
-   * Returns true if a peer has a later version than this process, which has read everything in the
-   * store since it heard of it. The store has come back from a copy without that version then. The
-   * version may have taken a key away, which a process that starts now would read from the copy. A
-   * version that this release cannot read is not lost.
+   * Returns true if a peer has a later version than this process, although this process has read
+   * all of the store since the peer first reported that version. The store was then restored from a
+   * copy without it. That version may have revoked a key, which the copy still contains. A version
+   * that this release cannot read is not lost.
    */
   private boolean hasStoreLostVersion(TopicFollower from) {
     return peerVersion > version()
@@ -150,12 +152,12 @@
   }
 
   /**
-   * Returns true if callers are served here as well as elsewhere: with a proof, or without one
-   * where none is required and no peer has one either.
+   * Returns true if this process should receive requests: it has a proof, or none is required and
+   * no peer has one either.
    */
   boolean isServing() {
-    boolean isPeerBetter = clockNanos.getAsLong() - peerProvedNanos < PEER_PROOF_NANOS;
-    return isProved() || (mayTrustKeys() && !isPeerBetter);
+    boolean isPeerProved = clockNanos.getAsLong() - peerProvedNanos < PEER_PROOF_NANOS;
+    return isProved() || (mayTrustKeys() && !isPeerProved);
   }
 
   @Override
@@ -169,13 +171,13 @@
   }
 
   /**
-   * Takes over a peer's proof that the configuration is the newest.
+   * Applies the configuration version and proof of a peer's heartbeat.
    *
-   * <p>The peer sent its heartbeat after it got the echoed one, which left here at the echoed time:
-   * so its proof is no older than that time less the age it tells.
+   * <p>The peer sent its heartbeat after it had received the echoed one, which this process sent at
+   * the echoed time. So the proof is no older than that time minus the age in the heartbeat.
    */
-  void learn(Heartbeat heartbeat) {
-    learnVersion(heartbeat.configVersion());
+  void applyHeartbeat(Heartbeat heartbeat) {
+    recordPeerVersion(heartbeat.configVersion());
     if (heartbeat.configAgeNanos() < keyTrustNanos) {
       peerProvedNanos = clockNanos.getAsLong();
     }
@@ -186,19 +188,19 @@
     }
   }
 
-  private void learnVersion(long told) {
+  private void recordPeerVersion(long reported) {
     long nowNanos = clockNanos.getAsLong();
-    boolean isForgotten = nowNanos - peerVersionNanos >= PEER_PROOF_NANOS;
-    if (told > peerVersion || (isForgotten && told > version())) {
-      peerVersion = told;
+    boolean isExpired = nowNanos - peerVersionNanos >= PEER_PROOF_NANOS;
+    if (reported > peerVersion || (isExpired && reported > version())) {
+      peerVersion = reported;
       peerVersionFirstNanos = nowNanos;
     }
-    if (told == peerVersion) {
+    if (reported == peerVersion) {
       peerVersionNanos = nowNanos;
     }
   }
 
-  /** Returns the version in force, {@link Heartbeat#NO_CONFIG} if none is known. */
+  /** Returns the version in use, or {@link Heartbeat#NO_CONFIG} if there is none. */
   long version() {
     return config == null ? Heartbeat.NO_CONFIG : config.version();
   }
@@ -213,13 +215,13 @@
         : elapsed.ageNanos(follower.provenNanos());
   }
 
-  /** Reads records of the topic of the configuration. */
+  /** Decoder of the records of the configuration topic. */
   public interface Decoder {
-    /** Returns true if the key is that of the configuration. */
+    /** Returns true if the key is the key of the configuration. */
     boolean isConfiguration(String key);
 
     /**
-     * Returns the configuration.
+     * Decodes the configuration.
      *
      * @throws RuntimeException if the value can't be read
      */
--- a/edge/src/main/java/org/shoreroad/edge/EdgeMetrics.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeMetrics.java
@@ -15,8 +15,9 @@
 /**
  * Counters, gauges and latency histograms of this process.
  *
- * <p>They are kept as plain numbers; the registry that serves them is made at the first request for
- * them, since its classes take 60 of 520 ms until a process listens. Used on the event loop only.
+ * <p>The values are plain numbers. The registry that exports them is created at the first scrape,
+ * since loading its classes takes 60 of the 520 ms from the start until a process listens. Not
+ * thread-safe: used on the event loop.
  *
  * @since 0.2
  */
@@ -49,12 +50,12 @@
     histograms.computeIfAbsent(name, key -> new LatencyHistogram()).record(nanos);
   }
 
-  /** Registers a gauge that is read whenever the metrics are. */
+  /** Registers a gauge, whose value is read at each scrape. */
   public void gauge(String name, Supplier<Number> value) {
     gauges.put(name, value);
   }
 
-  /** Returns all of it as Prometheus text. */
+  /** Returns all metrics in the Prometheus text format. */
   public String toPrometheusText() {
     PrometheusMeterRegistry current = registry;
     if (current == null) {
--- a/edge/src/main/java/org/shoreroad/edge/EdgePorts.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgePorts.java
@@ -8,15 +8,15 @@
 import org.shoreroad.edge.sync.StoreEra;
 
 /**
- * What the adapter of a platform gives to the process.
+ * Interfaces that a platform adapter implements for the process.
  *
  * @param headers the names of the headers
  * @param store the topics of the platform's store
- * @param leaseStore the groups of that store
+ * @param leaseStore the lease groups of that store
  * @param storeEra the era of that store, observed in its answers
- * @param engines the engines of the boxes
- * @param configDecoder reads the configuration
- * @param upstreamDecoder reads entries of the list of upstreams
+ * @param engines the client of the boxes' engines
+ * @param configDecoder the decoder of the configuration
+ * @param upstreamDecoder the decoder of entries of the list of upstreams
  * @since 0.2
  */
 public record EdgePorts(
--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -37,34 +37,34 @@
 import org.shoreroad.traffic.CallerLimits;
 
 /**
- * Puts the parts of a process together, starts and stops them.
+ * Process that serves requests: creates, connects, starts and stops its parts.
  *
- * <p>All parts work on one event loop, so none needs a lock; only log lines are written by another
- * thread.
+ * <p>Not thread-safe: all parts run on one event loop, so none needs a lock. Only log lines are
+ * written by another thread.
  *
  * @since 0.2
  */
 public final class EdgeProcess {
-  /** A read of the list waits this long for a change; upstreams write more often. */
+  /** Longest wait of a list read for a change; upstreams write more often. */
   private static final int LIST_WAIT_MS = 200;
 
   /**
-   * The least time between two reads of the list: changes come in bunches. One answer may be lost,
-   * and what an upstream says of its leaving must still be known within two seconds.
+   * Minimum interval between reads of the list, since changes arrive in bursts. Even if one answer
+   * is lost, a leaving upstream must be known within two seconds.
    */
   private static final int LIST_INTERVAL_MS = 900;
 
-  /** Processes come and go seldom; each read that ends without one has its price. */
+  /** Longest wait of a process list read; changes are rare, and each empty read has a cost. */
   private static final int PROCESS_WAIT_MS = 15_000;
 
   private static final int PROCESS_INTERVAL_MS = 500;
 
   /**
-   * Longest time for which a member of a hub does without the process list. Members with lists of
+   * Longest time for which a member of a hub does not read the process list. Members with lists of
    * different ages choose different hubs, so that a rolling restart would leave more hubs than
    * needed, each with a heartbeat to each other one.
    */
-  private static final int PROCESS_REST_MS = 30_000;
+  private static final int MEMBER_PROCESS_PAUSE_MS = 30_000;
 
   /**
    * Minimum interval between reads of the process list for a member of a hub, which needs the hubs
@@ -76,23 +76,23 @@
    * Maximum age of the readers' proof before this process reads the upstream list itself. The proof
    * of one reader is at most 1.1 s old, and a leaving upstream must be known within two seconds.
    */
-  private static final int TOLD_LIST_PROOF_MS = 1_500;
+  private static final int PEER_LIST_PROOF_MS = 1_500;
 
-  /** The same for the configuration: a long poll of at most two seconds and five heartbeats. */
-  private static final int TOLD_CONFIG_PROOF_MS = 3_000;
+  /** The same age for the configuration: a long poll of at most two seconds and five heartbeats. */
+  private static final int PEER_CONFIG_PROOF_MS = 3_000;
 
   /**
-   * Processes that hear of a new era by other calls, or by peers, list configuration and upstreams
-   * anew within this time: 300 processes make 600 calls, where the store takes 2,000 in a second. A
-   * leaving upstream must be known within two seconds.
+   * Maximum random delay before a process that learns of a new store era, by other calls or from
+   * peers, lists configuration and upstreams again. The 600 calls of 300 processes are spread,
+   * since the store accepts 2,000 per second. A leaving upstream must be known within two seconds.
    */
   private static final int LISTING_SPREAD_MS = 600;
 
-  /** The same for the announcements of processes, which nobody waits for. */
+  /** The same delay for the process list, which is not urgent. */
   private static final int PROCESS_LISTING_SPREAD_MS = 3_000;
 
-  private static final int UPKEEP_MS = 100;
-  private static final int SUMMARY_MS = 2_000;
+  private static final int UPDATE_INTERVAL_MS = 100;
+  private static final int SUMMARY_INTERVAL_MS = 2_000;
 
   private final EdgeSettings settings;
   private final EdgePorts ports;
@@ -124,15 +124,15 @@
   private final ReplicaService replicas;
   private final CallerServer callers;
   private final LoopLag lag;
-  private final Upkeep upkeep;
-  private final PlannedStop plannedStop;
+  private final PeriodicUpdate periodicUpdate;
+  private final GracefulShutdown shutdown;
   private List<FleetBox> reports = List.of();
 
   /**
-   * Puts a process together.
+   * Creates a process and its parts.
    *
-   * @param settings its settings, not null
-   * @param ports the platform, not null
+   * @param settings the settings, not null
+   * @param ports the interfaces to the platform, not null
    * @param loop the event loop, not null
    * @param calls the connections to upstreams, not null
    * @param clockNanos the steady clock, not null
@@ -182,10 +182,11 @@
     this.quarantineRegistry =
         new QuarantineRegistry(store, loop, timeOfDayMs, log, quarantine::applyReports);
     this.relay = makeRelay(loop, calls);
-    this.lag = new LoopLag(log, UPKEEP_MS);
+    this.lag = new LoopLag(log, UPDATE_INTERVAL_MS);
     this.failureDetector = new FailureDetector(clockNanos);
     HubPlan.Place place = new HubPlan.Place(name, settings.zone());
-    this.mesh = new PeerMesh(loop, clockNanos, log, place, new Teller(), this::learn);
+    this.mesh =
+        new PeerMesh(loop, clockNanos, log, place, new LocalHeartbeats(), this::applyHeartbeat);
     this.leases = new DomainLeases(store, loop, elapsed::nowNanos, log, name, mesh, fleet::domains);
     this.replicas = makeReplicas(loop);
     this.callers =
@@ -198,14 +199,14 @@
     this.processes = new ProcessRegistry(store, loop, log, mesh, place);
     this.processFollower =
         follower(Topic.PROCESSES, PROCESS_WAIT_MS, this::processIntervalMs, processes);
-    this.upkeep = makeUpkeep();
-    this.plannedStop =
-        new PlannedStop(loop, clockNanos, log, settings.graceMs(), leases, callers, relay);
+    this.periodicUpdate = makePeriodicUpdate();
+    this.shutdown =
+        new GracefulShutdown(loop, clockNanos, log, settings.graceMs(), leases, callers, relay);
     connect(calls);
   }
 
-  private Upkeep makeUpkeep() {
-    return new Upkeep(
+  private PeriodicUpdate makePeriodicUpdate() {
+    return new PeriodicUpdate(
         log,
         metrics,
         () -> lag.measure(clockNanos.getAsLong()),
@@ -253,18 +254,18 @@
         backpressure);
   }
 
-  /** Tells the parts of each other. */
+  /** Connects the parts by listeners and suppliers. */
   private void connect(HttpCalls calls) {
     configuration.setFollower(configFollower);
     // Without hubs each process reads the configuration itself. A change must be in force within
-    // two seconds; with three readers for all, which the store may turn away, one came later in
-    // four of thirteen runs with 7 and 9 processes.
-    configFollower.readThroughPeersWhile(mesh::isMember, TOLD_CONFIG_PROOF_MS);
+    // two seconds. With three readers for all processes, whose reads the store may refuse, a change
+    // was late in four of thirteen runs with 7 and 9 processes.
+    configFollower.readThroughPeersWhile(mesh::isMember, PEER_CONFIG_PROOF_MS);
     configFollower.setListingDelay(() -> random.nextInt(LISTING_SPREAD_MS));
     listFollower.setListingDelay(() -> random.nextInt(LISTING_SPREAD_MS));
     processFollower.setListingDelay(() -> random.nextInt(PROCESS_LISTING_SPREAD_MS));
     ports.storeEra().addListener(this::noteEra);
-    listFollower.readThroughPeersWhile(() -> !mesh.isReader(), TOLD_LIST_PROOF_MS);
+    listFollower.readThroughPeersWhile(() -> !mesh.isReader(), PEER_LIST_PROOF_MS);
     leases.setChangeListener(mesh::hurry);
     replicas.setUrgentChangeListener(mesh::hurry);
     stalls.setSuspicionListener(
@@ -272,7 +273,7 @@
           mesh.suspect(Set.of(head));
           replicas.scheduleReconcile();
         });
-    mesh.setSuspicionListener(this::learnSuspicions);
+    mesh.setSuspicionListener(this::applySuspicions);
     backpressure.setLimitListener(mesh::hurry);
     backpressure.setLeavingListener(fleet::noteLeaving);
     quarantine.setRecorder(quarantineRegistry::write);
@@ -328,18 +329,18 @@
     String host = settings.peerListen().getAddress().getHostAddress();
     Announcement announcement =
         new Announcement(host + ":" + settings.peerListen().getPort(), settings.zone());
-    // Members need the list to find a hub. Reading it on, 89 processes make about 800 of 3,100
-    // calls to the store on a calm day of 72 s (by the intervals), and read each restart of
-    // another.
-    processFollower.suspendReadsWhile(mesh::isSettledMember, PROCESS_REST_MS);
+    // Members need the list only to find a hub. If 89 processes continued to read it, this would be
+    // about 800 of 3,100 calls to the store in 72 s without faults, and each process would read
+    // every restart of another.
+    processFollower.suspendReadsWhile(mesh::isSettledMember, MEMBER_PROCESS_PAUSE_MS);
     processFollower.start();
     processes.announce(announcement);
     leases.start();
     relay.start();
     replicas.start();
     RepeatingTimer timer = new RepeatingTimer(loop, log);
-    timer.every(UPKEEP_MS, "upkeep", upkeep::run);
-    timer.every(SUMMARY_MS, "summary", this::summarize);
+    timer.every(UPDATE_INTERVAL_MS, "upkeep", periodicUpdate::run);
+    timer.every(SUMMARY_INTERVAL_MS, "summary", this::summarize);
     metrics.gauge("shoreroad.requests.open", relay::openCount);
     metrics.gauge("shoreroad.requests.accepted", relay::acceptedCount);
     metrics.gauge("shoreroad.requests.in_quarantine", quarantine::quarantinedCount);
@@ -353,13 +354,13 @@
   }
 
   /**
-   * Stops by plan: is no longer ready, passes its duties on, answers what comes on connections that
-   * are open, and ends when nothing is left or the grace is over.
+   * Shuts the process down gracefully: is no longer ready, releases its leases, answers requests on
+   * open connections, and ends when nothing is left or the grace period is over.
    *
    * @param onEnd called when the process may end
    */
   public void stop(Runnable onEnd) {
-    plannedStop.begin(onEnd);
+    shutdown.begin(onEnd);
   }
 
   private TopicFollower follower(
@@ -376,13 +377,13 @@
   }
 
   private boolean isReady() {
-    return !plannedStop.hasBegun()
+    return !shutdown.hasBegun()
         && configuration.config() != null
         && listFollower.isCurrent()
         && configuration.isServing();
   }
 
-  /** Writes where the fleet stands, so that a lack of replicas can be seen afterwards. */
+  /** Logs the state of the fleet, so that a lack of replicas can be analyzed later. */
   private void summarize() {
     if (configuration.config() != null) {
       configuration.config().services().forEach(summary::summarize);
@@ -412,7 +413,7 @@
         backpressure.reports());
   }
 
-  /** Has everything that is kept by the store read anew: it came back from an older copy. */
+  /** Reads the contents of the store again after it was restored from an older copy. */
   private void noteEra() {
     metrics.count("shoreroad.store.eras", "new");
     long era = ports.storeEra().current();
@@ -423,24 +424,24 @@
     quarantineRegistry.writeAgain(era);
   }
 
-  private void learn(Heartbeat heartbeat) {
-    configuration.learn(heartbeat);
+  private void applyHeartbeat(Heartbeat heartbeat) {
+    configuration.applyHeartbeat(heartbeat);
     failureDetector.learn(heartbeat);
-    ListUpdate told = heartbeat.listUpdate();
-    listFollower.noteEra(told.end().era());
-    if (told.hasProof() && !mesh.isReader()) {
-      listFollower.applyPeerUpdate(told, heartbeat.echoNanos() - told.ageNanos());
+    ListUpdate update = heartbeat.listUpdate();
+    listFollower.noteEra(update.end().era());
+    if (update.hasProof() && !mesh.isReader()) {
+      listFollower.applyPeerUpdate(update, heartbeat.echoNanos() - update.ageNanos());
     }
     heartbeat.reports().forEach(fleet::updateByPeer);
     quarantine.applyReports(heartbeat.crashReports());
     if (backpressure.applyReports(heartbeat.limitReports())) {
       mesh.hurryAsHub();
     }
-    learnSuspicions(heartbeat.suspectedUpstreams());
+    applySuspicions(heartbeat.suspectedUpstreams());
   }
 
-  /** Takes over suspicions of a peer; returns true if one of them is new. */
-  private boolean learnSuspicions(Set<String> heads) {
+  /** Applies the suspicions of a peer; returns true if one of them is new. */
+  private boolean applySuspicions(Set<String> heads) {
     boolean isNew = stalls.suspectByPeer(heads);
     if (isNew) {
       replicas.scheduleReconcile();
@@ -448,8 +449,8 @@
     return isNew;
   }
 
-  /** Makes the heartbeats of one round; all peers get the same reports. */
-  private final class Teller implements PeerMesh.HeartbeatSource {
+  /** Source of the heartbeats of one round; all peers get the same reports. */
+  private final class LocalHeartbeats implements PeerMesh.HeartbeatSource {
     @Override
     public Heartbeat make(String sender, long sentNanos) {
       return makeHeartbeat(sender, sentNanos);
@@ -459,7 +460,7 @@
     public ListUpdate listSince(StorePosition position) {
       List<StoreRecord> records = fleet.recentChanges().since(position);
       if (records == null || !listFollower.isCurrent()) {
-        // The position tells the receiver of a new era.
+        // The position shows the receiver a new era.
         return ListUpdate.readTo(listFollower.next());
       }
       return new ListUpdate(
--- a/edge/src/main/java/org/shoreroad/edge/EdgeSettings.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeSettings.java
@@ -4,22 +4,22 @@
 import org.shoreroad.edge.relay.RelayRules;
 
 /**
- * The settings of one process.
+ * Settings of one process.
  *
  * @param node the name of the process
  * @param zone its availability zone
- * @param callerListen where callers connect
- * @param readyListen where the balancer asks whether the process is ready
- * @param peerListen where the other processes connect
- * @param metricsListen where the metrics are read
- * @param revokeMs a key that was taken away must not be used longer than this, in milliseconds
+ * @param callerListen the address for callers
+ * @param readyListen the address for the readiness checks of the load balancer
+ * @param peerListen the address for the other processes
+ * @param metricsListen the address for scrapes of the metrics
+ * @param revokeMs the longest time for which a revoked key may be used, in milliseconds
  * @param isKeyProofRequired true if a known key may be used only while it is proved that no change
- *     of the configuration was missed; false if a process that has lost the store goes on with the
- *     keys that it knows
- * @param stallMs a head that lost a member counts as broken by its own engine after this time, in
- *     milliseconds
- * @param graceMs the time between the signal to stop and the end, in milliseconds
- * @param rules the bounds on repeats
+ *     of the configuration was missed; false if a process without a connection to the store
+ *     continues to accept the keys of its last configuration
+ * @param stallMs the time after which the engine of a head that lost a member breaks the replica,
+ *     in milliseconds
+ * @param graceMs the time between the stop signal and the end of the process, in milliseconds
+ * @param rules the limits on retries
  * @since 0.2
  */
 public record EdgeSettings(
--- a/edge/src/main/java/org/shoreroad/edge/ElapsedClock.java
+++ b/edge/src/main/java/org/shoreroad/edge/ElapsedClock.java
@@ -6,46 +6,45 @@
 import java.util.function.LongSupplier;
 
 /**
- * Ages that include the time for which the box was suspended.
+ * Clock that includes the time for which the box was suspended.
  *
- * <p>The steady clock stands still while a box is suspended, so by it a lease or a proof looks as
- * fresh after the wake-up as before. The time of day goes on. Whenever it has gone ahead of the
- * steady clock, the difference is added to the age of all that is older. A time of day that is set
- * ahead looks the same: then what is held expires early and has to be proved again, which takes one
- * call. One that is set back adds nothing and takes nothing off, so it never makes anything
- * younger.
+ * <p>The steady clock stops while a box is suspended, so a lease or a proof would appear as fresh
+ * after the suspension as before. The time of day continues. Whenever it has advanced further than
+ * the steady clock, the difference is added to the age of all earlier readings. Setting the time of
+ * day forward has the same effect: leases and proofs expire early and are renewed with one call.
+ * Setting it back changes no age, so nothing becomes younger.
  *
- * <p>Ways weighed: {@code /proc/uptime} counts the suspended time, but costs a read of a file for
- * each age and shows another machine's time where a box is virtual; a foreign call to the boot-time
- * clock needs a native library at each start. Reading two clocks costs neither.
+ * <p>Alternatives: {@code /proc/uptime} includes the suspended time, but needs a file read for each
+ * age and shows the time of another machine if the box is virtual. A native call to the boot-time
+ * clock needs a native library at each start. Reading two clocks avoids both.
  *
- * <p>For what must expire; pacing and the detection of silence go by the steady clock, so that the
- * absence of this box is not taken for the silence of others. Used on the event loop.
+ * <p>Used for expiry only. Pacing and failure detection use the steady clock, so that a suspension
+ * of this box is not mistaken for silence of the others. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 public final class ElapsedClock {
   /**
-   * Smallest lead of the time of day that counts. A box that is given no processor time between the
-   * two readings shows up to 100 ms. The margins of leases (300 ms) and of keys (500 ms) are
-   * larger.
+   * Minimum lead of the time of day that is counted as a suspension. A process that gets no
+   * processor time between the two readings shows a lead of up to 100 ms. The margins of leases
+   * (300 ms) and keys (500 ms) are larger.
    */
   private static final long MIN_LEAD_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /** Nothing is held that long without a new proof. */
+  /** Time for which a suspension is recorded; every lease and proof is renewed more often. */
   private static final long KEEP_NANOS = TimeUnit.MINUTES.toNanos(1);
 
   private final LongSupplier steadyNanos;
   private final LongSupplier timeOfDayMs;
   private final Deque<Lead> leads = new ArrayDeque<>();
   private long offsetNanos;
-  private long addedNanos;
+  private long totalLeadNanos;
 
-  /** A stretch of time that the steady clock did not count, and when that was noticed. */
-  private record Lead(long noticedNanos, long lengthNanos) {}
+  /** Time that the steady clock did not count, with the reading at which this was detected. */
+  private record Lead(long detectedNanos, long lengthNanos) {}
 
   /**
-   * Creates a clock that has noticed no suspension.
+   * Creates a clock that has detected no suspension.
    *
    * @param steadyNanos the steady clock, in nanoseconds, not null
    * @param timeOfDayMs the time of day, in milliseconds since 1970, not null
@@ -57,43 +56,46 @@
   }
 
   /**
-   * Returns how much time has passed since a reading of the steady clock, in nanoseconds; at least
-   * as much as the steady clock has counted since.
+   * Returns the time elapsed since a reading of the steady clock, in nanoseconds; at least the time
+   * that the steady clock has counted.
    */
   public long ageNanos(long sinceSteadyNanos) {
-    long nowNanos = check();
+    long nowNanos = readClocks();
     long ageNanos = nowNanos - sinceSteadyNanos;
     for (Lead lead : leads) {
-      ageNanos += lead.noticedNanos() - sinceSteadyNanos >= 0 ? lead.lengthNanos() : 0;
+      ageNanos += lead.detectedNanos() - sinceSteadyNanos >= 0 ? lead.lengthNanos() : 0;
     }
     return ageNanos;
   }
 
-  /** Returns a reading that never goes back, to be compared with other readings of it alone. */
+  /**
+   * Returns a reading in nanoseconds that never decreases. It is comparable only with other
+   * readings of this method.
+   */
   public long nowNanos() {
-    return check() + addedNanos;
+    return readClocks() + totalLeadNanos;
   }
 
   /**
-   * Returns the time by which the time of day has gone ahead of the steady clock since the start,
-   * in nanoseconds: it rises with each suspension that is noticed.
+   * Returns the total lead of the time of day over the steady clock since the start, in
+   * nanoseconds. It increases with each detected suspension.
    */
-  long addedNanos() {
-    check();
-    return addedNanos;
+  long totalLeadNanos() {
+    readClocks();
+    return totalLeadNanos;
   }
 
-  /** Compares the clocks; returns the steady one. */
-  private long check() {
+  /** Compares the clocks and returns the reading of the steady clock. */
+  private long readClocks() {
     long nowNanos = steadyNanos.getAsLong();
     long newOffsetNanos = offset(nowNanos);
-    long leadNanos = newOffsetNanos - offsetNanos;
+    long newLeadNanos = newOffsetNanos - offsetNanos;
     offsetNanos = newOffsetNanos;
-    if (leadNanos >= MIN_LEAD_NANOS) {
-      leads.add(new Lead(nowNanos, leadNanos));
-      addedNanos += leadNanos;
+    if (newLeadNanos >= MIN_LEAD_NANOS) {
+      leads.add(new Lead(nowNanos, newLeadNanos));
+      totalLeadNanos += newLeadNanos;
     }
-    while (!leads.isEmpty() && nowNanos - leads.peek().noticedNanos() > KEEP_NANOS) {
+    while (!leads.isEmpty() && nowNanos - leads.peek().detectedNanos() > KEEP_NANOS) {
       leads.remove();
     }
     return nowNanos;
--- a/edge/src/main/java/org/shoreroad/edge/EventLog.java
+++ b/edge/src/main/java/org/shoreroad/edge/EventLog.java
@@ -14,19 +14,20 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Structured log lines, one JSON object each, written by a thread of their own.
+ * Log of structured lines, one JSON object each, written by a separate thread.
  *
- * <p>Never blocks: when the ring is full because nobody reads the output, lines are dropped and
- * counted. Of each kind of event no more than a fixed number is written in a second; the next line
- * of that kind tells how many were left out. {@link #write} is called on the event loop only.
+ * <p>Never blocks: if the ring buffer is full because the output is not read, lines are dropped and
+ * counted. The number of lines per kind of event and second is limited; the next line of that kind
+ * contains the number of omitted ones. {@link #write} must be called on the event loop; the other
+ * methods are thread-safe.
  *
  * @since 0.2
  */
 public final class EventLog {
-  /** Lines waiting to be written; at most some hundred bytes each. */
+  /** Capacity of the ring buffer, in lines of at most some hundred bytes. */
   private static final int RING_LINES = 4_096;
 
-  /** Lines of one kind in a second: enough to follow an incident, bounded under load. */
+  /** Maximum lines per kind and second: enough to follow an incident, limited under load. */
   private static final int LINES_PER_SECOND = 40;
 
   private static final long SECOND_NANOS = 1_000_000_000L;
@@ -34,7 +35,7 @@
 
   private final MpscArrayQueue<String> ring = new MpscArrayQueue<>(RING_LINES);
   private final AtomicLong droppedLines = new AtomicLong();
-  private final Map<String, Window> windows = new HashMap<>();
+  private final Map<String, RateLimit> limits = new HashMap<>();
   private final JsonFactory json = new JsonFactory();
   private final String node;
   private final LongSupplier clockNanos;
@@ -45,7 +46,7 @@
    *
    * @param node the name of this process, on each line
    * @param clockNanos the steady clock
-   * @param out where the lines go
+   * @param out the output for the lines
    */
   public EventLog(String node, LongSupplier clockNanos, OutputStream out) {
     this.node = node;
@@ -53,7 +54,7 @@
     this.out = out;
   }
 
-  /** Starts the thread that writes. */
+  /** Starts the writer thread. */
   public void start() {
     Thread writer = new Thread(this::writeAll, "event-log");
     writer.setDaemon(true);
@@ -61,29 +62,29 @@
   }
 
   /**
-   * Writes one line, unless its kind has had its share of this second.
+   * Writes one line, unless the limit of its kind for this second is reached.
    *
    * @param event the kind of the event
-   * @param fields names and values by turns
+   * @param fields alternating names and values
    */
   public void write(String event, Object... fields) {
     long nowNanos = clockNanos.getAsLong();
-    Window window = windows.computeIfAbsent(event, name -> new Window());
-    if (!window.admits(nowNanos)) {
+    RateLimit limit = limits.computeIfAbsent(event, name -> new RateLimit());
+    if (!limit.admits(nowNanos)) {
       return;
     }
-    String line = toLine(event, window.takeOmitted(), fields);
+    String line = toLine(event, limit.takeOmitted(), fields);
     if (!ring.offer(line)) {
       droppedLines.incrementAndGet();
     }
   }
 
-  /** Returns how many lines were lost because nobody read the output. */
+  /** Returns the number of lines dropped because the output was not read. */
   public long droppedLines() {
     return droppedLines.get();
   }
 
-  /** Writes what waits, for the end of the process. */
+  /** Writes all pending lines; called at the end of the process. */
   public void flush() {
     drain();
   }
@@ -104,7 +105,7 @@
       }
       generator.writeEndObject();
     } catch (IOException e) {
-      throw new IllegalStateException("a string can't fail to be written", e);
+      throw new IllegalStateException("writing to a string failed", e);
     }
     return text.append('\n').toString();
   }
@@ -140,13 +141,13 @@
       out.write(lines.toString().getBytes(StandardCharsets.UTF_8));
       out.flush();
     } catch (IOException e) {
-      // There is nowhere left to tell it but the count.
+      // A failed output can't be logged, only counted.
       droppedLines.incrementAndGet();
     }
   }
 
-  /** What one kind of event has had of the running second. */
-  private static final class Window {
+  /** Rate limit of one kind of event: the lines of the current second. */
+  private static final class RateLimit {
     private long startNanos = Long.MIN_VALUE / 2;
     private int lines;
     private long omitted;
--- a/edge/src/main/java/org/shoreroad/edge/LatencyHistogram.java
+++ b/edge/src/main/java/org/shoreroad/edge/LatencyHistogram.java
@@ -5,7 +5,10 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import java.util.concurrent.TimeUnit;
 
-/** Counts of latencies up to fixed bounds, with their number and sum. Used on the event loop. */
+/**
+ * Histogram of latencies with fixed bucket bounds, with their count and sum. Not thread-safe: used
+ * on the event loop.
+ */
 final class LatencyHistogram {
   private static final int[] BOUNDS_MS = {50, 100, 200, 300, 500, 1_000, 2_000, 5_000};
 
@@ -25,7 +28,7 @@
     }
   }
 
-  /** Registers the timer, and a counter {@code NAME.upto} for each bound, tagged in seconds. */
+  /** Registers a timer, and a counter {@code NAME.upto} for each bound with a tag in seconds. */
   void register(String name, MeterRegistry registry) {
     FunctionTimer.builder(name, this, h -> h.count, h -> h.sumNanos, TimeUnit.NANOSECONDS)
         .register(registry);
--- a/edge/src/main/java/org/shoreroad/edge/LoopLag.java
+++ b/edge/src/main/java/org/shoreroad/edge/LoopLag.java
@@ -3,13 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How late the event loop does what is due: it has too much to do, or the box gave it no time.
+ * Meter of the delay of the event loop's timers. The loop is late if it is overloaded or the
+ * process gets no processor time; all work of the process is then delayed as much.
  *
- * <p>Everything that a process does waits as long. Used on the event loop.
+ * <p>Not thread-safe: used on the event loop.
  */
 final class LoopLag {
-  /** Below this a late timer says nothing: the clock of timers is coarse. */
-  private static final long WORTH_TELLING_MS = 40;
+  /** Minimum delay that is logged; shorter ones are within the resolution of timers. */
+  private static final long MIN_LOGGED_MS = 40;
 
   private final EventLog log;
   private final long intervalNanos;
@@ -17,21 +18,21 @@
   private long longestMs;
 
   /**
-   * Creates a meter that has measured nothing.
+   * Creates a meter without measurements.
    *
-   * @param intervalMs how often {@link #measure} is to be called, in milliseconds
+   * @param intervalMs the interval between calls of {@link #measure}, in milliseconds
    */
   LoopLag(EventLog log, int intervalMs) {
     this.log = log;
     this.intervalNanos = TimeUnit.MILLISECONDS.toNanos(intervalMs);
   }
 
-  /** Measures how late it is called; a long delay is logged. */
+  /** Measures the delay of this call against the interval; a long delay is logged. */
   void measure(long nowNanos) {
     if (dueNanos != 0) {
       long lateMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - dueNanos);
       longestMs = Math.max(longestMs, lateMs);
-      if (lateMs >= WORTH_TELLING_MS) {
+      if (lateMs >= MIN_LOGGED_MS) {
         log.write("loop_late", "lateMs", lateMs);
       }
     }
--- a/edge/src/main/java/org/shoreroad/edge/RepeatingTimer.java
+++ b/edge/src/main/java/org/shoreroad/edge/RepeatingTimer.java
@@ -25,8 +25,8 @@
   /**
    * Runs a task periodically; a failure is logged and does not end the repetition.
    *
-   * @param intervalMs the pause after each time, in milliseconds
-   * @param name names the task in the log, not null
+   * @param intervalMs the pause after each run, in milliseconds
+   * @param name the name of the task in the log, not null
    * @param task the task, not null
    */
   public void every(int intervalMs, String name, Runnable task) {
@@ -36,7 +36,7 @@
   /**
    * Runs a task periodically, as {@link #every(int, String, Runnable)}, with a variable interval.
    *
-   * @param intervalMs tells the next pause, in milliseconds
+   * @param intervalMs returns the next pause, in milliseconds
    */
   public void every(IntSupplier intervalMs, String name, Runnable task) {
     loop.schedule(
@@ -57,7 +57,7 @@
     try {
       task.run();
     } catch (RuntimeException | LinkageError e) {
-      // A class that is missing must not end the task for good without a line in the log either.
+      // A missing class must not end the repetition without a log line either.
       String place = e.getStackTrace().length == 0 ? "" : e.getStackTrace()[0].toString();
       log.write("task_failed", "task", name, "why", String.valueOf(e), "place", place);
     }
--- a/edge/src/main/java/org/shoreroad/edge/StatusEndpoints.java
+++ b/edge/src/main/java/org/shoreroad/edge/StatusEndpoints.java
@@ -20,7 +20,7 @@
 import org.shoreroad.edge.caller.CallerServer;
 import org.shoreroad.traffic.CallerLimits;
 
-/** Ports on which a process answers whether it is ready, and serves its metrics. */
+/** Ports for the readiness check and the metrics of a process. Used on the event loop. */
 final class StatusEndpoints {
   private static final String PROMETHEUS_TEXT = "text/plain; version=0.0.4";
 
@@ -60,7 +60,7 @@
         });
   }
 
-  /** Answers one request at once. */
+  /** Handler that answers a request at once. */
   private interface Responder {
     void answer(AnswerChannel answers);
   }
--- a/edge/src/main/java/org/shoreroad/edge/package-info.java
+++ b/edge/src/main/java/org/shoreroad/edge/package-info.java
@@ -1,4 +1,4 @@
-/** The serving process for opaque HTTP requests: one event loop, its parts and how they start. */
+/** The process that serves opaque HTTP requests on one event loop: its parts and their start. */
 @NullMarked
 package org.shoreroad.edge;
 
--- a/edge/src/test/java/org/shoreroad/edge/ConfigurationViewTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/ConfigurationViewTest.java
@@ -35,7 +35,7 @@
   private final ConfigurationView configuration =
       new ConfigurationView(new NumberDecoder(), () -> nowNanos, elapsed, log, REVOKE_MS, true);
 
-  /** Takes the text of a number for a configuration of that version. */
+  /** Decodes a number as a configuration of that version. */
   private static final class NumberDecoder implements ConfigurationView.Decoder {
     @Override
     public boolean isConfiguration(String key) {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** A store with one page of nothing, which answers the first call and no other. */
+  /** Store that answers the first call with an empty page, and no other call. */
   private static final class OnceStore implements Store {
     @Override
     public void read(Topic topic, long from, int waitMs, StoreCallback<StorePage> callback) {
@@ -68,7 +68,7 @@
     }
   }
 
-  private void take(String text) {
+  private void receive(String text) {
     configuration.onRecord(
         new StoreRecord(StorePosition.of(1, 0), "config", text.getBytes(StandardCharsets.UTF_8)));
   }
@@ -97,30 +97,30 @@
   }
 
   @Test
-  void versionsOnlyRise() {
+  void versionsNeverDecrease() {
     assertThat(configuration.config(), is(nullValue()));
-    take("7");
-    take("5");
+    receive("7");
+    receive("5");
     assertThat(configuration.config().version(), is(7L));
-    take("8");
+    receive("8");
     assertThat(configuration.config().version(), is(8L));
   }
 
   @Test
-  void anUnreadableVersionLeavesTheLastGoodOne() {
-    take("7");
-    take("nonsense");
+  void unreadableVersionKeepsTheLastReadableOne() {
+    receive("7");
+    receive("nonsense");
     assertThat(configuration.config().version(), is(7L));
   }
 
   @Test
-  void otherKeysAreNoConfiguration() {
+  void otherKeysAreIgnored() {
     configuration.onRecord(new StoreRecord(StorePosition.of(1, 0), "other", new byte[] {'9'}));
     assertThat(configuration.config(), is(nullValue()));
   }
 
   @Test
-  void keysAreTrustedForLessThanTheTimeToTakeThemAway() {
+  void keysAreTrustedForLessThanTheRevocationTime() {
     assertThat(configuration.mayTrustKeys(), is(false));
     follow();
     assertThat(configuration.mayTrustKeys(), is(true));
@@ -131,12 +131,11 @@
   }
 
   /**
-   * A box was suspended for six seconds, and a key was taken away meanwhile. The steady clock had
-   * not counted that time: by it the proof was as fresh as before, and the key would have been used
-   * for five seconds more.
+   * Guards against use of a key that was revoked while the box was suspended for six seconds. The
+   * steady clock does not count that time, so the key would be used for five seconds more.
    */
   @Test
-  void aProofFromBeforeASuspensionIsAsOldAsTheTimeThatHasPassed() {
+  void ageOfAProofIncludesASuspension() {
     follow();
     nowNanos += 100 * MILLI_NANOS;
     assertThat(configuration.mayTrustKeys(), is(true));
@@ -144,12 +143,12 @@
     assertThat(configuration.mayTrustKeys(), is(false));
     assertThat(configuration.configAgeMs(), is(6_100L));
     nowNanos += 50 * MILLI_NANOS;
-    configuration.learn(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
+    configuration.applyHeartbeat(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
     assertThat(configuration.mayTrustKeys(), is(true));
   }
 
   @Test
-  void withoutTheNeedOfAProofKnownKeysAreUsedOnWhileTheStoreIsAway() {
+  void withoutRequiredProofKeysAreTrustedDuringAStoreOutage() {
     ConfigurationView lenient =
         new ConfigurationView(new NumberDecoder(), () -> nowNanos, elapsed, log, REVOKE_MS, false);
     assertThat(lenient.mayTrustKeys(), is(false));
@@ -162,7 +161,7 @@
   }
 
   @Test
-  void whoNeedsNoProofServesWithoutOneUnlessAPeerHasOne() {
+  void withoutRequiredProofServesUnlessAPeerHasAProof() {
     ConfigurationView lenient =
         new ConfigurationView(new NumberDecoder(), () -> nowNanos, elapsed, log, REVOKE_MS, false);
     follow(lenient);
@@ -171,88 +170,88 @@
     nowNanos += 2 * REVOKE_MS * MILLI_NANOS;
     assertThat(lenient.isServing(), is(true));
     // The peer has read further, so its proof does not hold here.
-    lenient.learn(heartbeat(nowNanos, 4, 0));
+    lenient.applyHeartbeat(heartbeat(nowNanos, 4, 0));
     assertThat(lenient.isServing(), is(false));
     nowNanos += 1_100 * MILLI_NANOS;
     assertThat(lenient.isServing(), is(true));
   }
 
   @Test
-  void whoNeedsAProofDoesNotServeWithoutOne() {
+  void withRequiredProofDoesNotServeWithoutOne() {
     follow();
-    take("7");
+    receive("7");
     assertThat(configuration.isServing(), is(true));
     nowNanos += 2 * REVOKE_MS * MILLI_NANOS;
     assertThat(configuration.isServing(), is(false));
   }
 
   @Test
-  void aProofLastsUntilTheNextReadHasCome() {
+  void proofLastsUntilTheAnswerToTheNextRead() {
     for (int revokeMs : new int[] {1_500, 3_000, 5_000, 20_000}) {
       int waitMs = ConfigurationView.readWaitMs(revokeMs);
-      // Two reads in a row are the oldest that a proof becomes in calm times.
+      // Without faults a proof is never older than two consecutive reads.
       assertThat(2 * (waitMs + 100), is(lessThan(revokeMs - 500)));
     }
   }
 
   @Test
-  void aPeersProofCountsFromThisProcessesOwnClock() {
+  void ageOfAPeerProofIsMeasuredOnTheOwnClock() {
     follow();
     nowNanos += 4_000 * MILLI_NANOS;
     long echoNanos = nowNanos - 200 * MILLI_NANOS;
-    configuration.learn(heartbeat(echoNanos, 3, 300 * MILLI_NANOS));
+    configuration.applyHeartbeat(heartbeat(echoNanos, 3, 300 * MILLI_NANOS));
     assertThat(configuration.configAgeMs(), is(500L));
   }
 
   @Test
-  void aPeerThatKnowsMoreOrEchoesNothingProvesNothing() {
+  void peerProofIsIgnoredIfThePeerIsAheadOrEchoesNothing() {
     follow();
     nowNanos += 4_000 * MILLI_NANOS;
-    configuration.learn(heartbeat(nowNanos, 4, 0));
+    configuration.applyHeartbeat(heartbeat(nowNanos, 4, 0));
     assertThat(configuration.configAgeMs(), is(4_000L));
-    configuration.learn(heartbeat(0, 3, 0));
+    configuration.applyHeartbeat(heartbeat(0, 3, 0));
     assertThat(configuration.configAgeMs(), is(4_000L));
   }
 
   /**
-   * A process that starts after the store came back from an older copy reads a version from before
-   * a key was taken away; the others know the later one.
+   * Guards against use of a revoked key by a process that starts after the store was restored from
+   * an older copy. It reads a version from before the revocation; its peers have the later one.
    */
   @Test
-  void aVersionThatOnlyAPeerKnowsIsWaitedFor() {
+  void keysAreNotTrustedWhileAPeerHasALaterVersion() {
     follow();
-    take("7");
+    receive("7");
     assertThat(configuration.mayTrustKeys(), is(true));
-    configuration.learn(Heartbeats.of("peer").withVersion(9));
-    // What was proved before says nothing of it: the version may be on its way.
+    configuration.applyHeartbeat(Heartbeats.of("peer").withVersion(9));
+    // A proof from before the heartbeat remains valid, since the version may still arrive.
     assertThat(configuration.mayTrustKeys(), is(true));
     nowNanos += 200 * MILLI_NANOS;
-    configuration.learn(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
+    configuration.applyHeartbeat(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
     assertThat(configuration.mayTrustKeys(), is(false));
-    take("9");
+    receive("9");
     assertThat(configuration.mayTrustKeys(), is(true));
   }
 
   @Test
-  void aVersionThatNoPeerTellsAnyMoreIsNotWaitedFor() {
+  void laterVersionThatNoPeerReportsAnyMoreIsIgnored() {
     follow();
-    take("7");
-    configuration.learn(Heartbeats.of("peer").withVersion(9));
+    receive("7");
+    configuration.applyHeartbeat(Heartbeats.of("peer").withVersion(9));
     nowNanos += 200 * MILLI_NANOS;
-    configuration.learn(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
+    configuration.applyHeartbeat(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
     assertThat(configuration.mayTrustKeys(), is(false));
     nowNanos += 1_000 * MILLI_NANOS;
     assertThat(configuration.mayTrustKeys(), is(true));
   }
 
   @Test
-  void aVersionThatThisReleaseCannotReadIsNotWaitedFor() {
+  void laterVersionThatThisReleaseCannotReadIsIgnored() {
     follow();
-    take("7");
-    take("nonsense");
-    configuration.learn(Heartbeats.of("peer").withVersion(9));
+    receive("7");
+    receive("nonsense");
+    configuration.applyHeartbeat(Heartbeats.of("peer").withVersion(9));
     nowNanos += 200 * MILLI_NANOS;
-    configuration.learn(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
+    configuration.applyHeartbeat(Heartbeats.of("peer").withConfig(nowNanos, 3, 0));
     assertThat(configuration.mayTrustKeys(), is(true));
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/EdgeMetricsTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/EdgeMetricsTest.java
@@ -10,7 +10,7 @@
   private final EdgeMetrics metrics = new EdgeMetrics();
 
   @Test
-  void whatWasCountedBeforeAndAfterTheFirstRequestIsTold() {
+  void countsBeforeAndAfterTheFirstScrapeAreExported() {
     metrics.count("shoreroad.refusals", "no_place");
     metrics.gauge("shoreroad.requests.open", () -> 3);
     assertThat(
--- a/edge/src/test/java/org/shoreroad/edge/ElapsedClockTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/ElapsedClockTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Both clocks in the hands of the test, together and apart. */
+/** Tests with a manual steady clock and a manual time of day. */
 class ElapsedClockTest {
   private static final long MILLI_NANOS = 1_000_000;
 
@@ -14,7 +14,7 @@
   private final ElapsedClock clock =
       new ElapsedClock(() -> steadyMs * MILLI_NANOS, () -> timeOfDayMs);
 
-  private void pass(long steady, long timeOfDay) {
+  private void advance(long steady, long timeOfDay) {
     steadyMs += steady;
     timeOfDayMs += timeOfDay;
   }
@@ -24,62 +24,62 @@
   }
 
   @Test
-  void withoutSuspensionAnAgeIsThatOfTheSteadyClock() {
-    pass(700, 700);
+  void withoutSuspensionTheAgeFollowsTheSteadyClock() {
+    advance(700, 700);
     assertThat(ageMs(5_000), is(700L));
-    assertThat(clock.addedNanos(), is(0L));
+    assertThat(clock.totalLeadNanos(), is(0L));
   }
 
   @Test
-  void suspendedTimeCountsForWhatIsOlderThanTheWakeUp() {
-    pass(100, 100);
+  void suspensionIsAddedToTheAgeOfEarlierReadings() {
+    advance(100, 100);
     assertThat(ageMs(5_000), is(100L));
-    pass(10, 4_010);
+    advance(10, 4_010);
     assertThat(ageMs(5_000), is(4_110L));
     assertThat(ageMs(5_100), is(4_010L));
-    pass(50, 50);
+    advance(50, 50);
     assertThat(ageMs(5_150), is(10L));
-    assertThat(clock.addedNanos(), is(4_000 * MILLI_NANOS));
+    assertThat(clock.totalLeadNanos(), is(4_000 * MILLI_NANOS));
   }
 
   @Test
   void severalSuspensionsAddUp() {
-    pass(10, 1_010);
+    advance(10, 1_010);
     ageMs(5_000);
-    pass(10, 2_010);
+    advance(10, 2_010);
     assertThat(ageMs(5_000), is(3_020L));
   }
 
   @Test
-  void aTimeOfDayThatIsSetBackMakesNothingYounger() {
-    pass(100, -1_900);
+  void settingTheTimeOfDayBackChangesNoAge() {
+    advance(100, -1_900);
     assertThat(ageMs(5_000), is(100L));
     long before = clock.nowNanos();
-    pass(1, -3_000);
+    advance(1, -3_000);
     assertThat(clock.nowNanos() - before, is(MILLI_NANOS));
   }
 
   @Test
-  void aTimeOfDayThatIsSetAheadMakesThingsOlder() {
-    pass(100, 2_100);
+  void settingTheTimeOfDayForwardIncreasesAges() {
+    advance(100, 2_100);
     assertThat(ageMs(5_000), is(2_100L));
   }
 
   @Test
-  void slowCorrectionsOfTheTimeOfDayDoNotAddUp() {
+  void gradualCorrectionsOfTheTimeOfDayAreIgnored() {
     for (int i = 0; i < 1_000; i++) {
-      pass(100, 101);
+      advance(100, 101);
       clock.nowNanos();
     }
-    assertThat(clock.addedNanos(), is(0L));
+    assertThat(clock.totalLeadNanos(), is(0L));
     assertThat(ageMs(5_000), is(100_000L));
   }
 
   @Test
-  void whatWasNoticedLongAgoIsForgottenButTheReadingsGoOn() {
-    pass(0, 3_000);
+  void oldSuspensionsAreDroppedButReadingsDoNotDecrease() {
+    advance(0, 3_000);
     long before = clock.nowNanos();
-    pass(61_000, 61_000);
+    advance(61_000, 61_000);
     assertThat(clock.nowNanos() - before, is(61_000 * MILLI_NANOS));
     assertThat(ageMs(66_000), is(0L));
   }
--- a/edge/src/test/java/org/shoreroad/edge/EventLogTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/EventLogTest.java
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aLineIsOneJsonObject() throws Exception {
+  void lineIsOneJsonObject() throws Exception {
     log.write("kind", "text", "a\"b\nc", "number", 7L, "truth", true, "none", null);
     JsonNode line = new ObjectMapper().readTree(lines()[0]);
     assertThat(line.path("event").asText(), is("kind"));
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void eachKindHasItsShareOfASecondAndWhatIsLeftOutIsCounted() {
+  void linesPerKindAndSecondAreLimitedAndOmittedOnesCounted() {
     for (int i = 0; i < 100; i++) {
       log.write("many", "i", i);
     }
@@ -54,7 +54,7 @@
 
   @Test
   @Timeout(30)
-  void aReaderWhoDoesNotReadHoldsNobodyUp() {
+  void blockedOutputDoesNotBlockWriters() {
     CountDownLatch never = new CountDownLatch(1);
     OutputStream stuck =
         new OutputStream() {
@@ -65,7 +65,7 @@
         };
     EventLog blocked = new EventLog("n-1", () -> nowNanos, stuck);
     blocked.start();
-    // Every line of another kind, so that only the ring bounds them.
+    // Each line has its own kind, so that only the ring buffer limits them.
     for (int i = 0; i < 20_000; i++) {
       blocked.write("kind" + i);
     }
--- a/edge/src/test/java/org/shoreroad/edge/LoopLagTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/LoopLagTest.java
@@ -14,7 +14,7 @@
       new LoopLag(new EventLog("t", () -> 0, OutputStream.nullOutputStream()), 100);
 
   @Test
-  void theLongestDelayIsTakenOnce() {
+  void longestDelayIsReturnedOnceAndReset() {
     lag.measure(1_000 * MILLI_NANOS);
     lag.measure(1_100 * MILLI_NANOS);
     assertThat(lag.takeLongestMs(), is(0L));
--- a/edge/src/test/java/org/shoreroad/edge/RepeatingTimerTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/RepeatingTimerTest.java
@@ -16,7 +16,7 @@
   private final EventLog log = new EventLog("n", () -> 0, out);
 
   @Test
-  void aTaskThatFailsIsDoneAgainAndTheFailureIsLogged() {
+  void failedTaskIsLoggedAndRepeated() {
     AtomicInteger runs = new AtomicInteger();
     new RepeatingTimer(channel.eventLoop(), log)
         .every(
@@ -28,7 +28,7 @@
               }
             });
     for (int i = 0; i < 3; i++) {
-      passMs(10);
+      advanceMs(10);
     }
     log.flush();
     assertThat(runs.get(), is(3));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aTaskThatLacksAClassIsDoneAgainAndTheFailureIsLogged() {
+  void taskWithAMissingClassIsLoggedAndRepeated() {
     AtomicInteger runs = new AtomicInteger();
     new RepeatingTimer(channel.eventLoop(), log)
         .every(
@@ -47,34 +47,34 @@
               runs.incrementAndGet();
               throw new NoClassDefFoundError("x/Missing");
             });
-    passMs(10);
-    passMs(10);
+    advanceMs(10);
+    advanceMs(10);
     log.flush();
     assertThat(runs.get(), is(2));
     assertThat(out.toString(), containsString("x/Missing"));
   }
 
   @Test
-  void pausesMayChangeAndATaskDoneOnceIsNotRepeated() {
+  void intervalMayChangeAndSingleTaskRunsOnce() {
     AtomicInteger pauseMs = new AtomicInteger(10);
     AtomicInteger runs = new AtomicInteger();
     AtomicInteger single = new AtomicInteger();
     RepeatingTimer timer = new RepeatingTimer(channel.eventLoop(), log);
     timer.every(pauseMs::get, "changing", runs::incrementAndGet);
     timer.once(10, "single", single::incrementAndGet);
-    passMs(10);
+    advanceMs(10);
     assertThat(runs.get(), is(1));
     pauseMs.set(100);
-    passMs(10);
+    advanceMs(10);
     assertThat(runs.get(), is(2));
-    passMs(50);
+    advanceMs(50);
     assertThat(runs.get(), is(2));
-    passMs(50);
+    advanceMs(50);
     assertThat(runs.get(), is(3));
     assertThat(single.get(), is(1));
   }
 
-  private void passMs(int millis) {
+  private void advanceMs(int millis) {
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
     channel.runScheduledPendingTasks();
   }
