--- a/edge/src/main/java/org/shoreroad/edge/caller/CallerConnection.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/CallerConnection.java
@@ -317,7 +317,7 @@
   }
 
   /** Returns true if no request is arriving or being answered. */
-  boolean isResting() {
+  boolean isIdle() {
     return !isAnswering && ahead.isEmpty() && arriving == null && partialHeadSinceNanos == 0;
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/caller/CallerServer.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/CallerServer.java
@@ -85,7 +85,7 @@
   /** Closes the connections on which nothing is arriving or being answered. */
   public void closeResting() {
     for (CallerConnection connection : new ArrayList<>(connections)) {
-      if (connection.isResting()) {
+      if (connection.isIdle()) {
         connection.abort();
       }
     }
@@ -98,7 +98,7 @@
 
   /** Returns the number of connections with a request arriving or being answered. */
   public long busyCount() {
-    return connections.stream().filter(connection -> !connection.isResting()).count();
+    return connections.stream().filter(connection -> !connection.isIdle()).count();
   }
 
   /** Closes the port, so that no new connection comes. */
--- a/edge/src/main/java/org/shoreroad/edge/http/HttpCalls.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/HttpCalls.java
@@ -79,7 +79,7 @@
   public void forget(String address) {
     AddressPool pool = pools.get(address);
     if (pool != null) {
-      pool.closeResting();
+      pool.closeIdle();
     }
   }
 
@@ -139,14 +139,14 @@
                 && String.valueOf(refused.getMessage()).contains("refused");
         call.fail(isRefused ? CallFailure.Reason.REFUSED : CallFailure.Reason.NOT_CONNECTED);
       } else if (call.isOver()) {
-        rest(connection);
+        addIdle(connection);
       } else {
         connection.send(call);
       }
     }
 
-    void rest(HttpConnection connection) {
-      connection.startRest(clockNanos.getAsLong());
+    void addIdle(HttpConnection connection) {
+      connection.startIdle(clockNanos.getAsLong());
       resting.addFirst(connection);
     }
 
@@ -167,7 +167,7 @@
       }
     }
 
-    void closeResting() {
+    void closeIdle() {
       while (!resting.isEmpty()) {
         HttpConnection kept = resting.removeFirst();
         all.remove(kept);
--- a/edge/src/main/java/org/shoreroad/edge/http/HttpConnection.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/HttpConnection.java
@@ -59,7 +59,7 @@
     }
     if (!next.listener().onSending()) {
       call = null;
-      pool.rest(this);
+      pool.addIdle(this);
       next.fail(CallFailure.Reason.WITHDRAWN);
       return;
     }
@@ -79,7 +79,7 @@
     }
   }
 
-  void startRest(long nowNanos) {
+  void startIdle(long nowNanos) {
     restingSinceNanos = nowNanos;
   }
 
@@ -165,7 +165,7 @@
     call = null;
     if (isKept && isOpen()) {
       setReading(true);
-      pool.rest(this);
+      pool.addIdle(this);
     } else {
       finish();
     }
