--- a/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
@@ -18,19 +18,19 @@
  * @since 0.2
  */
 public final class WholeCall implements CallListener {
-  private final Taker taker;
+  private final Callback taker;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private @Nullable HttpCall call;
   private @Nullable ScheduledFuture<?> limit;
   private int status;
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
 
-  private WholeCall(Taker taker) {
+  private WholeCall(Callback taker) {
     this.taker = taker;
   }
 
   /** Takes the outcome of a call. */
-  public interface Taker {
+  public interface Callback {
     /** Takes an answer. */
     void onAnswer(int status, HttpHeaders headers, byte[] body);
 
@@ -49,7 +49,7 @@
       String address,
       FullHttpRequest request,
       int timeoutMs,
-      Taker taker) {
+      Callback taker) {
     WholeCall whole = new WholeCall(taker);
     whole.call = calls.send(address, request, Integer.MAX_VALUE, whole);
     whole.limit = loop.schedule(whole::giveUp, timeoutMs, TimeUnit.MILLISECONDS);
