--- a/edge/src/main/java/org/shoreroad/edge/http/CallFailure.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/CallFailure.java
@@ -8,10 +8,10 @@
  * <p>This class is immutable and thread-safe.
  *
  * @param reason what happened, not null
- * @param hasLeft true if a byte of the request may have left this process
+ * @param isSent true if a byte of the request may have left this process
  * @since 0.2
  */
-public record CallFailure(Reason reason, boolean hasLeft) {
+public record CallFailure(Reason reason, boolean isSent) {
   /** Checks that the reason is there. */
   public CallFailure {
     Objects.requireNonNull(reason, "reason");
--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -216,7 +216,7 @@
     if (isOver) {
       return;
     }
-    if (!failure.hasLeft()) {
+    if (!failure.isSent()) {
       if (failure.reason() != CallFailure.Reason.WITHDRAWN) {
         target.load().avoidUntil(relay.nowNanos() + AVOID_NANOS);
       }
