--- a/edge/src/main/java/org/shoreroad/edge/http/HttpCall.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/HttpCall.java
@@ -14,7 +14,7 @@
   private final FullHttpRequest request;
   private final CallListener listener;
   private @Nullable HttpConnection connection;
-  private boolean hasLeft;
+  private boolean isSent;
   private boolean isOver;
 
   HttpCall(FullHttpRequest request, CallListener listener) {
@@ -32,7 +32,7 @@
       request.release();
       return;
     }
-    if (!hasLeft) {
+    if (!isSent) {
       request.release();
     }
     connection.abandon();
@@ -46,8 +46,8 @@
   }
 
   /** Returns true once a byte of the request may have left this process. */
-  public boolean hasLeft() {
-    return hasLeft;
+  public boolean isSent() {
+    return isSent;
   }
 
   boolean isOver() {
@@ -67,7 +67,7 @@
   }
 
   void markLeft() {
-    hasLeft = true;
+    isSent = true;
   }
 
   void end() {
@@ -82,9 +82,9 @@
       return;
     }
     isOver = true;
-    if (!hasLeft) {
+    if (!isSent) {
       request.release();
     }
-    listener.onFailure(new CallFailure(reason, hasLeft));
+    listener.onFailure(new CallFailure(reason, isSent));
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
@@ -59,7 +59,7 @@
     HttpCall open = call;
     if (open != null) {
       call = null;
-      boolean hasLeft = open.hasLeft();
+      boolean hasLeft = open.isSent();
       open.cancel();
       taker.onFailure(new CallFailure(CallFailure.Reason.TIMEOUT, hasLeft));
     }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Attempt.java
@@ -74,7 +74,7 @@
   }
 
   boolean hasLeft() {
-    return call != null && call.hasLeft();
+    return call != null && call.isSent();
   }
 
   /** Returns true once the upstream has begun to answer, so that it runs the request. */
