--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -284,7 +284,7 @@
         what -> metrics.count("shoreroad.upstreams.former_incarnation", what));
     fleet.addRemovalListener(
         box -> {
-          calls.forget(box.address());
+          calls.closeIdle(box.address());
           upstreams.forget(box.id());
           replicas.forget(box.id());
           failureDetector.forget(box.id());
--- a/edge/src/main/java/org/shoreroad/edge/GracefulShutdown.java
+++ b/edge/src/main/java/org/shoreroad/edge/GracefulShutdown.java
@@ -73,11 +73,11 @@
     hasBegun = true;
     log.write("stop", "open", relay.openCount(), "connections", callers.connectionCount());
     leases.leave();
-    callers.stopKeeping();
+    callers.disableKeepAlive();
     loop.schedule(
         () -> {
           relay.refuseNew();
-          callers.closeResting();
+          callers.closeIdle();
         },
         Math.min(ACCEPT_AFTER_SIGNAL_MS, graceMs / 2),
         TimeUnit.MILLISECONDS);
--- a/edge/src/main/java/org/shoreroad/edge/caller/AnswerChannel.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/AnswerChannel.java
@@ -5,24 +5,24 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * The way back to the caller of one request; used on the event loop.
+ * Channel for the answer to one request of a caller. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 public interface AnswerChannel {
-  /** Sends a whole answer; the body's buffer is released. */
+  /** Sends a complete answer and releases the body's buffer. */
   void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf body);
 
-  /** Sends the head of an answer that is made of pieces. */
+  /** Sends the head of an answer whose body follows in pieces. */
   void begin(HttpResponseStatus status, HttpHeaders headers);
 
-  /** Sends a piece; the buffer is released. */
+  /** Sends a piece of the body and releases its buffer. */
   void send(ByteBuf piece);
 
-  /** Ends an answer that was begun, as a whole one. */
+  /** Completes an answer that was begun. */
   void end();
 
-  /** Closes the connection, so that what was sent does not look whole. */
+  /** Closes the connection, so that the caller sees the answer as incomplete. */
   void abort();
 
   /** Returns false while the caller reads too slowly. */
--- a/edge/src/main/java/org/shoreroad/edge/caller/AnsweredExchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/AnsweredExchange.java
@@ -1,10 +1,10 @@
 package org.shoreroad.edge.caller;
 
 /**
- * Exchange of a request that needs nothing of its caller: it was answered at once, or its answer
- * does not depend on whether the caller stays.
+ * Exchange that ignores events of the caller's connection: its request was answered at once, or the
+ * answer does not depend on whether the caller stays connected.
  *
- * <p>Thread-safe, since it has no state.
+ * <p>Stateless and thread-safe.
  *
  * @since 0.2
  */
@@ -14,11 +14,11 @@
 
   @Override
   public void onCallerGone() {
-    // Nothing runs for it that could be stopped.
+    // There is no work to stop.
   }
 
   @Override
   public void onWritabilityChanged(boolean isWritable) {
-    // Its answers are small.
+    // The answers are small.
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/caller/CallerConnection.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/CallerConnection.java
@@ -30,36 +30,38 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One caller's connection: one request at a time, limits on what and how slowly it may send.
+ * Connection of one caller. Answers one request at a time and limits the size and the duration of
+ * the caller's input.
  *
- * <p>Requests sent ahead wait their turn. Bad input gets its status at once, and the connection is
- * closed, since nothing after it can be trusted. Used on the event loop only.
+ * <p>Pipelined requests are queued. Bad input is answered with its status, unless other answers are
+ * pending, and the connection is closed, since nothing after it can be trusted. Not thread-safe:
+ * used on the event loop.
  *
  * @since 0.2
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements AnswerChannel {
-  /** With this many requests sent ahead nothing more is read until one of them is answered. */
-  private static final int MAX_AHEAD = 16;
+  /** Queued requests at which reading is paused until one of them is answered. */
+  private static final int MAX_QUEUED = 16;
 
   private final CallerServer server;
-  private final ArrayDeque<RequestAhead> ahead = new ArrayDeque<>();
+  private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
   private @Nullable Channel channel;
   private @Nullable HttpRequest arriving;
   private long arrivingSinceNanos;
   private @Nullable CompositeByteBuf body;
   private @Nullable CallerExchange exchange;
   private boolean isAnswering;
-  private boolean isMidway;
+  private boolean isAnswerBegun;
   private boolean isLastAnswer;
   private boolean isRefusingInput;
-  private boolean isKept = true;
+  private boolean isKeptAlive = true;
   private boolean isFlushDue;
-  private long quietSinceNanos;
+  private long idleSinceNanos;
   private long partialHeadSinceNanos;
 
   CallerConnection(CallerServer server) {
     this.server = server;
-    this.quietSinceNanos = server.nowNanos();
+    this.idleSinceNanos = server.nowNanos();
   }
 
   @Override
@@ -68,7 +70,7 @@
     server.add(this);
   }
 
-  /** Notes that bytes came, before they are understood. */
+  /** Records that bytes arrived, before they are decoded. */
   void onBytes() {
     if (arriving == null && !isAnswering && partialHeadSinceNanos == 0) {
       partialHeadSinceNanos = server.nowNanos();
@@ -127,27 +129,27 @@
       CallerRequest request =
           new CallerRequest(
               head.method(), head.uri(), head.headers(), collected, arrivingSinceNanos);
-      takeRequest(new RequestAhead(request, HttpUtil.isKeepAlive(head)));
+      acceptRequest(new QueuedRequest(request, HttpUtil.isKeepAlive(head)));
     }
   }
 
-  private void takeRequest(RequestAhead next) {
-    if (!isAnswering && ahead.isEmpty()) {
+  private void acceptRequest(QueuedRequest next) {
+    if (!isAnswering && queue.isEmpty()) {
       answerNext(next);
       return;
     }
-    // What was read before the pause is still taken, so the queue may grow beyond the limit.
-    ahead.add(next);
-    setReading(ahead.size() < MAX_AHEAD);
+    // Requests read before the pause are still queued, so the queue may exceed the limit.
+    queue.add(next);
+    setReading(queue.size() < MAX_QUEUED);
   }
 
-  private void answerNext(RequestAhead next) {
+  private void answerNext(QueuedRequest next) {
     isAnswering = true;
     isLastAnswer = false;
-    isKept = next.isKept();
+    isKeptAlive = next.isKeptAlive();
     exchange = null;
     CallerExchange begun = server.factory().begin(next.request(), this);
-    // A refusal is answered before the factory returns; then there is nothing to tell.
+    // A refusal is answered before the factory returns; its exchange gets no events.
     if (isAnswering) {
       exchange = begun;
     }
@@ -155,10 +157,10 @@
 
   @Override
   public void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
-    if (isMidway) {
+    if (isAnswerBegun) {
       content.release();
       abort();
-      throw new IllegalStateException("a second answer in the middle of one");
+      throw new IllegalStateException("an answer was already begun");
     }
     FullHttpResponse response =
         new DefaultFullHttpResponse(
@@ -177,7 +179,7 @@
     response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     markLast(response);
     write(response);
-    isMidway = true;
+    isAnswerBegun = true;
   }
 
   @Override
@@ -195,7 +197,7 @@
   public void abort() {
     isRefusingInput = true;
     if (channel != null) {
-      // What was passed on before must still leave.
+      // The parts written before must still be sent.
       channel.flush();
       channel.close();
     }
@@ -207,20 +209,20 @@
   }
 
   private void markLast(HttpResponse response) {
-    isLastAnswer = server.isStopping() || !isKept || isRefusedNext();
+    isLastAnswer = server.isStopping() || !isKeptAlive || isBadInputNext();
     if (isLastAnswer) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
   }
 
-  /** Returns true if bad input came after the request that is being answered. */
-  private boolean isRefusedNext() {
-    return isRefusingInput && ahead.isEmpty();
+  /** Returns true if bad input follows the request that is being answered. */
+  private boolean isBadInputNext() {
+    return isRefusingInput && queue.isEmpty();
   }
 
   /**
-   * Writes a part of an answer; all that is written in one pass of the event loop leaves with one
-   * system call, such as the head with the first event, or the last event with the end.
+   * Writes a part of an answer. All parts written in one iteration of the event loop are sent with
+   * one system call, such as the head with the first event, or the last event with the end.
    */
   private void write(Object message) {
     Channel open = channel;
@@ -244,26 +246,26 @@
 
   private void finishAnswer() {
     isAnswering = false;
-    isMidway = false;
+    isAnswerBegun = false;
     exchange = null;
-    quietSinceNanos = server.nowNanos();
-    // A request that came ahead is still answered, unless this answer said that it is the last.
-    if ((isLastAnswer || isRefusedNext()) && channel != null) {
+    idleSinceNanos = server.nowNanos();
+    // A queued request is still answered, unless this answer announced the end of the connection.
+    if ((isLastAnswer || isBadInputNext()) && channel != null) {
       isRefusingInput = true;
       channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-      releaseAhead();
+      releaseQueue();
       return;
     }
-    if (!ahead.isEmpty() && channel != null) {
-      // Not from here: refusals are answered before answerNext returns, one within the other.
-      channel.eventLoop().execute(this::answerAhead);
+    if (!queue.isEmpty() && channel != null) {
+      // Not called directly: refusals are answered before answerNext returns, so calls would nest.
+      channel.eventLoop().execute(this::answerQueued);
     }
   }
 
-  private void answerAhead() {
-    RequestAhead next = isAnswering ? null : ahead.poll();
+  private void answerQueued() {
+    QueuedRequest next = isAnswering ? null : queue.poll();
     if (next != null) {
-      setReading(ahead.size() < MAX_AHEAD);
+      setReading(queue.size() < MAX_QUEUED);
       answerNext(next);
     }
   }
@@ -285,21 +287,21 @@
     }
   }
 
-  /** Answers bad input and closes, once the answers before it are out. */
+  /** Refuses bad input and closes the connection, after the answers before it. */
   private void refuse(HttpResponseStatus status, String reason) {
     server.countBadInput(reason);
     isRefusingInput = true;
     releaseArriving();
-    if (isAnswering || !ahead.isEmpty()) {
-      // The answers before it must stay whole; the connection ends with the last of them.
+    if (isAnswering || !queue.isEmpty()) {
+      // The answers before it must be complete; the last of them closes the connection.
       return;
     }
     answer(
         status, new DefaultHttpHeaders().set("X-Shoreroad-Reason", reason), Unpooled.EMPTY_BUFFER);
   }
 
-  /** Closes or refuses a connection that is too slow or has rested too long. */
-  void checkTimes(long nowNanos) {
+  /** Refuses a request that arrives too slowly, and closes a connection that was idle too long. */
+  void checkTimeouts(long nowNanos) {
     long headLimitNanos = TimeUnit.MILLISECONDS.toNanos(server.limits().headerTimeoutMs());
     long idleLimitNanos = TimeUnit.MILLISECONDS.toNanos(server.limits().idleTimeoutMs());
     if (isAnswering || channel == null || isRefusingInput) {
@@ -311,14 +313,14 @@
       refuse(HttpResponseStatus.REQUEST_TIMEOUT, "slow_body");
     } else if (arriving == null
         && partialHeadSinceNanos == 0
-        && nowNanos - quietSinceNanos > idleLimitNanos) {
+        && nowNanos - idleSinceNanos > idleLimitNanos) {
       channel.close();
     }
   }
 
   /** Returns true if no request is arriving or being answered. */
   boolean isIdle() {
-    return !isAnswering && ahead.isEmpty() && arriving == null && partialHeadSinceNanos == 0;
+    return !isAnswering && queue.isEmpty() && arriving == null && partialHeadSinceNanos == 0;
   }
 
   @Override
@@ -332,7 +334,7 @@
   public void channelInactive(ChannelHandlerContext context) {
     isRefusingInput = true;
     releaseArriving();
-    releaseAhead();
+    releaseQueue();
     server.remove(this);
     CallerExchange left = exchange;
     exchange = null;
@@ -343,7 +345,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // A reset by the caller: told to the exchange as the loss of its caller.
+    // A reset by the caller; channelInactive reports it to the exchange.
     context.close();
   }
 
@@ -356,15 +358,15 @@
     partialHeadSinceNanos = 0;
   }
 
-  private void releaseAhead() {
-    ahead.forEach(next -> next.request().body().release());
-    ahead.clear();
+  private void releaseQueue() {
+    queue.forEach(next -> next.request().body().release());
+    queue.clear();
   }
 
   /**
-   * A request that waits for the answers before it.
+   * Queued request that waits for the answers before it.
    *
-   * @param isKept false if the caller wants no request after it on the connection
+   * @param isKeptAlive false if the caller closes the connection after this request
    */
-  private record RequestAhead(CallerRequest request, boolean isKept) {}
+  private record QueuedRequest(CallerRequest request, boolean isKeptAlive) {}
 }
--- a/edge/src/main/java/org/shoreroad/edge/caller/CallerExchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/CallerExchange.java
@@ -1,20 +1,20 @@
 package org.shoreroad.edge.caller;
 
 /**
- * One request between its arrival and its answer; used on the event loop.
+ * One request from its arrival to its answer. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 public interface CallerExchange {
-  /** Tells that the caller has gone: whatever runs for it is to stop. */
+  /** Called when the caller has disconnected; all work for the request is to stop. */
   void onCallerGone();
 
-  /** Tells that the caller reads again, or reads too slowly. */
+  /** Called when the caller starts or stops reading too slowly. */
   void onWritabilityChanged(boolean isWritable);
 
-  /** Begins exchanges. */
+  /** Factory of exchanges. */
   interface Factory {
-    /** Begins to answer a request. */
+    /** Starts to answer a request. */
     CallerExchange begin(CallerRequest request, AnswerChannel answers);
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/caller/CallerServer.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/CallerServer.java
@@ -23,7 +23,8 @@
 import org.shoreroad.traffic.CallerLimits;
 
 /**
- * Takes callers' connections on one address. Used on the event loop only.
+ * Server that accepts the connections of callers on one address. Not thread-safe: used on the event
+ * loop.
  *
  * @since 0.2
  */
@@ -31,7 +32,7 @@
   private static final int MAX_INITIAL_LINE_BYTES = 8_192;
   private static final int MAX_CHUNK_BYTES = 65_536;
   private static final int BACKLOG = 1_024;
-  private static final int SWEEP_MS = 250;
+  private static final int TIMEOUT_CHECK_MS = 250;
 
   private final EventLoop loop;
   private final LongSupplier clockNanos;
@@ -59,8 +60,8 @@
   /**
    * Opens the port.
    *
-   * @param address where to listen, not null
-   * @return tells when the port is open, or why it can't be
+   * @param address the address to listen on, not null
+   * @return the future of the open port, which fails if the port can't be opened
    */
   public ChannelFuture start(InetSocketAddress address) {
     ChannelFuture opening =
@@ -73,17 +74,18 @@
             .childHandler(new Initializer())
             .bind(address);
     listening = opening.channel();
-    loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        this::checkTimeouts, TIMEOUT_CHECK_MS, TIMEOUT_CHECK_MS, TimeUnit.MILLISECONDS);
     return opening;
   }
 
-  /** From now on each answer is the last on its connection. */
-  public void stopKeeping() {
+  /** Makes each further answer the last on its connection. */
+  public void disableKeepAlive() {
     isStopping = true;
   }
 
   /** Closes the connections on which nothing is arriving or being answered. */
-  public void closeResting() {
+  public void closeIdle() {
     for (CallerConnection connection : new ArrayList<>(connections)) {
       if (connection.isIdle()) {
         connection.abort();
@@ -136,10 +138,10 @@
     connections.remove(connection);
   }
 
-  private void sweep() {
+  private void checkTimeouts() {
     long nowNanos = nowNanos();
-    // A connection that is closed takes itself out of the set.
-    new ArrayList<>(connections).forEach(connection -> connection.checkTimes(nowNanos));
+    // A closed connection removes itself from the set.
+    new ArrayList<>(connections).forEach(connection -> connection.checkTimeouts(nowNanos));
   }
 
   private final class Initializer extends ChannelInitializer<SocketChannel> {
@@ -149,18 +151,18 @@
       channel
           .pipeline()
           .addLast(
-              new ByteWatch(connection),
+              new ByteMonitor(connection),
               new HttpServerCodec(
                   MAX_INITIAL_LINE_BYTES, limits().maxHeaderBytes(), MAX_CHUNK_BYTES),
               connection);
     }
   }
 
-  /** Tells the connection that bytes came, so that a head that never ends is noticed. */
-  private static final class ByteWatch extends ChannelInboundHandlerAdapter {
+  /** Notifies the connection of received bytes, so that a head that never ends is detected. */
+  private static final class ByteMonitor extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
-    ByteWatch(CallerConnection connection) {
+    ByteMonitor(CallerConnection connection) {
       this.connection = connection;
     }
 
--- a/edge/src/main/java/org/shoreroad/edge/caller/package-info.java
+++ b/edge/src/main/java/org/shoreroad/edge/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The HTTP server side: callers' connections, their requests and the answers to them. */
+/** HTTP server: the connections of callers, their requests and the answers. */
 @NullMarked
 package org.shoreroad.edge.caller;
 
--- a/edge/src/main/java/org/shoreroad/edge/http/CallFailure.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/CallFailure.java
@@ -3,35 +3,35 @@
 import java.util.Objects;
 
 /**
- * Why a call brought no whole answer.
+ * Failure of a call, which has no complete answer.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param reason what happened, not null
- * @param isSent true if a byte of the request may have left this process
+ * @param reason the reason, not null
+ * @param isSent true if a byte of the request may have been sent
  * @since 0.2
  */
 public record CallFailure(Reason reason, boolean isSent) {
-  /** Checks that the reason is there. */
+  /** Checks that the reason is not null. */
   public CallFailure {
     Objects.requireNonNull(reason, "reason");
   }
 
-  /** What can go wrong with a call. */
+  /** Reason of a failure. */
   public enum Reason {
-    /** No connection came up: refused, reset, or not in time. */
+    /** No connection was established: refused, reset or timed out. */
     NOT_CONNECTED,
-    /** The address was refused outright: no process listens there. */
+    /** The connection was refused: no process listens at the address. */
     REFUSED,
-    /** The address has as many connections as it may have. */
+    /** The maximum number of connections to the address is in use. */
     TOO_MANY_CONNECTIONS,
-    /** The connection was reset or closed before the answer was whole. */
+    /** The connection was reset or closed before the answer was complete. */
     BROKEN,
-    /** Bytes came that form no answer. */
+    /** The received bytes are not a valid answer. */
     MALFORMED,
-    /** The time of the call ran out. */
+    /** The call timed out. */
     TIMEOUT,
-    /** The listener withdrew the call before it left. */
+    /** The listener withdrew the call before the request was sent. */
     WITHDRAWN
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/http/CallListener.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/CallListener.java
@@ -4,15 +4,16 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Hears how one call goes; all methods are called on the event loop, in order.
+ * Listener to the progress of one call.
  *
- * <p>After {@link #onEnd} or {@link #onFailure} nothing more is called.
+ * <p>All methods are called on the event loop, in order; none after {@link #onEnd} or {@link
+ * #onFailure}.
  *
  * @since 0.2
  */
 public interface CallListener {
   /**
-   * Asks, right before the first byte leaves, whether the request may still be sent.
+   * Called right before the first byte is sent, to confirm that the request may still be sent.
    *
    * @return false to withdraw it
    */
@@ -21,18 +22,18 @@
   }
 
   /**
-   * Tells the status and the headers of the answer.
+   * Called with the status and the headers of the answer.
    *
-   * @return false if this answer belongs to another request and is to be passed over
+   * @return false if this answer belongs to another request and is to be skipped
    */
   boolean onHead(HttpResponse head);
 
-  /** Tells a piece of the body; the buffer is released after the call. */
+  /** Called with a piece of the body; the buffer is released afterwards. */
   void onContent(ByteBuf content);
 
-  /** Tells that the answer is whole. */
+  /** Called when the answer is complete. */
   void onEnd();
 
-  /** Tells that there will be no whole answer. */
+  /** Called if there will be no complete answer. */
   void onFailure(CallFailure failure);
 }
--- a/edge/src/main/java/org/shoreroad/edge/http/HttpCall.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/HttpCall.java
@@ -4,9 +4,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request on its way, and the handle to end it early.
+ * Request in progress, which can be canceled.
  *
- * <p>Used on the event loop only.
+ * <p>Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
@@ -22,7 +22,7 @@
     this.listener = listener;
   }
 
-  /** Ends the call; the connection is closed, and the listener hears nothing more. */
+  /** Ends the call and closes its connection; the listener is not called any more. */
   public void cancel() {
     if (isOver) {
       return;
@@ -35,17 +35,17 @@
     if (!isSent) {
       request.release();
     }
-    connection.abandon();
+    connection.cancel();
   }
 
-  /** Stops or resumes reading the answer, so that a slow caller holds the upstream up. */
+  /** Pauses or resumes reading, to pass the backpressure of a slow caller on to the upstream. */
   public void setReading(boolean isReading) {
     if (connection != null && !isOver) {
       connection.setReading(isReading);
     }
   }
 
-  /** Returns true once a byte of the request may have left this process. */
+  /** Returns true once a byte of the request may have been sent. */
   public boolean isSent() {
     return isSent;
   }
@@ -66,7 +66,7 @@
     this.connection = connection;
   }
 
-  void markLeft() {
+  void markSent() {
     isSent = true;
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/http/HttpCalls.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/HttpCalls.java
@@ -21,10 +21,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Sends requests over kept connections, one pool for each address.
+ * HTTP client with a pool of keep-alive connections for each address.
  *
- * <p>Nothing is ever sent twice from here: a failed call is the caller's to repeat. Used on the
- * event loop only.
+ * <p>Never retries: a failed call is left to the code that sent it. Not thread-safe: used on the
+ * event loop.
  *
  * @since 0.2
  */
@@ -40,11 +40,11 @@
   private long connectionsOpened;
 
   /**
-   * Creates an empty set of pools.
+   * Creates a client without connections.
    *
    * @param loop the event loop, not null
    * @param clockNanos the steady clock, in nanoseconds, not null
-   * @param connectTimeoutMs how long a connection may take to come up, in milliseconds
+   * @param connectTimeoutMs the time to establish a connection, in milliseconds
    */
   public HttpCalls(EventLoop loop, LongSupplier clockNanos, int connectTimeoutMs) {
     this.loop = loop;
@@ -53,13 +53,13 @@
   }
 
   /**
-   * Sends a request on a kept connection or a new one.
+   * Sends a request on an idle connection or a new one.
    *
    * @param address the address as {@code host:port}, not null
    * @param request the request, released by this class, not null
-   * @param maxConnections the most connections to the address at a time
-   * @param listener hears how it goes, not null
-   * @return the handle to end the call early
+   * @param maxConnections the maximum number of connections to the address
+   * @param listener the listener to the progress of the call, not null
+   * @return the call, which can be canceled
    */
   public HttpCall send(
       String address, FullHttpRequest request, int maxConnections, CallListener listener) {
@@ -68,15 +68,15 @@
     return call;
   }
 
-  /** Closes the resting connections that have rested too long, and forgets empty pools. */
+  /** Closes connections that were idle for too long, and removes empty pools. */
   public void sweep() {
     long nowNanos = clockNanos.getAsLong();
     pools.values().forEach(pool -> pool.closeExpired(nowNanos));
     pools.values().removeIf(pool -> pool.all.isEmpty());
   }
 
-  /** Closes the resting connections to an address whose process is gone. */
-  public void forget(String address) {
+  /** Closes the idle connections to an address whose process has ended. */
+  public void closeIdle(String address) {
     AddressPool pool = pools.get(address);
     if (pool != null) {
       pool.closeIdle();
@@ -88,10 +88,10 @@
     return connectionsOpened;
   }
 
-  /** The connections to one address. */
+  /** Pool of the connections to one address. */
   final class AddressPool {
     private final String address;
-    private final ArrayDeque<HttpConnection> resting = new ArrayDeque<>();
+    private final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
     private final Set<HttpConnection> all = new HashSet<>();
 
     AddressPool(String address) {
@@ -100,14 +100,14 @@
 
     void send(HttpCall call, int maxConnections) {
       long nowNanos = clockNanos.getAsLong();
-      // The connection used last is the one least likely to be closing.
-      for (HttpConnection kept = resting.pollFirst(); kept != null; kept = resting.pollFirst()) {
-        if (kept.isUsable(nowNanos)) {
-          kept.send(call);
+      // The most recently used connection is the least likely to be closing.
+      for (HttpConnection pooled = idle.pollFirst(); pooled != null; pooled = idle.pollFirst()) {
+        if (pooled.isUsable(nowNanos)) {
+          pooled.send(call);
           return;
         }
-        kept.close();
-        all.remove(kept);
+        pooled.close();
+        all.remove(pooled);
       }
       if (all.size() >= maxConnections) {
         loop.execute(() -> call.fail(CallFailure.Reason.TOO_MANY_CONNECTIONS));
@@ -147,31 +147,31 @@
 
     void addIdle(HttpConnection connection) {
       connection.startIdle(clockNanos.getAsLong());
-      resting.addFirst(connection);
+      idle.addFirst(connection);
     }
 
     void remove(HttpConnection connection) {
       all.remove(connection);
-      resting.remove(connection);
+      idle.remove(connection);
     }
 
     void closeExpired(long nowNanos) {
-      Iterator<HttpConnection> oldestFirst = resting.descendingIterator();
+      Iterator<HttpConnection> oldestFirst = idle.descendingIterator();
       while (oldestFirst.hasNext()) {
-        HttpConnection kept = oldestFirst.next();
-        if (!kept.isUsable(nowNanos)) {
+        HttpConnection pooled = oldestFirst.next();
+        if (!pooled.isUsable(nowNanos)) {
           oldestFirst.remove();
-          all.remove(kept);
-          kept.close();
+          all.remove(pooled);
+          pooled.close();
         }
       }
     }
 
     void closeIdle() {
-      while (!resting.isEmpty()) {
-        HttpConnection kept = resting.removeFirst();
-        all.remove(kept);
-        kept.close();
+      while (!idle.isEmpty()) {
+        HttpConnection pooled = idle.removeFirst();
+        all.remove(pooled);
+        pooled.close();
       }
     }
   }
@@ -190,7 +190,7 @@
     };
   }
 
-  /** Parses {@code host:port} without looking a name up. */
+  /** Parses a numeric {@code host:port} without a name lookup. */
   public static InetSocketAddress toSocketAddress(String address) {
     int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
--- a/edge/src/main/java/org/shoreroad/edge/http/HttpConnection.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/HttpConnection.java
@@ -15,31 +15,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One kept connection: carries one call at a time and is closed as soon as anything is out of form.
+ * Keep-alive connection that carries one call at a time and is closed at any protocol violation.
  *
- * <p>Bytes that arrive while no call is open belong to no request, so the connection is closed on
- * them. Used on the event loop only.
+ * <p>Bytes that arrive without an open call belong to no request, so they close the connection. Not
+ * thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
-  /** The rest after which a connection is not used again unless the peer says how long it keeps. */
-  private static final long DEFAULT_REST_NANOS = TimeUnit.SECONDS.toNanos(4);
+  /** Idle time after which a connection is not reused, unless the server announces a timeout. */
+  private static final long DEFAULT_IDLE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-  /** How much earlier than the peer's own time a connection is given up, for the way there. */
-  private static final long REST_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+  /** Margin on the server's idle timeout, for the network latency. */
+  private static final long IDLE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
   private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
 
   private final HttpCalls.AddressPool pool;
   private @Nullable Channel channel;
   private @Nullable HttpCall call;
-  private boolean isPassingOver;
-  private boolean isKept = true;
+  private boolean isSkipping;
+  private boolean isKeptAlive = true;
   private boolean hasHead;
   private boolean isBroken;
-  private long restNanos = DEFAULT_REST_NANOS;
-  private long restingSinceNanos;
+  private long maxIdleNanos = DEFAULT_IDLE_NANOS;
+  private long idleSinceNanos;
 
   HttpConnection(HttpCalls.AddressPool pool) {
     this.pool = pool;
@@ -49,7 +49,7 @@
   void send(HttpCall next) {
     call = next;
     hasHead = false;
-    isPassingOver = false;
+    isSkipping = false;
     next.setConnection(this);
     Channel open = channel;
     if (open == null || !open.isActive()) {
@@ -63,12 +63,12 @@
       next.fail(CallFailure.Reason.WITHDRAWN);
       return;
     }
-    next.markLeft();
+    next.markSent();
     open.writeAndFlush(next.request());
   }
 
   /** Closes the connection because its call is no longer wanted. */
-  void abandon() {
+  void cancel() {
     call = null;
     finish();
   }
@@ -80,13 +80,13 @@
   }
 
   void startIdle(long nowNanos) {
-    restingSinceNanos = nowNanos;
+    idleSinceNanos = nowNanos;
   }
 
   boolean isUsable(long nowNanos) {
     return channel != null
         && channel.isActive()
-        && nowNanos - restingSinceNanos < restNanos - REST_MARGIN_NANOS;
+        && nowNanos - idleSinceNanos < maxIdleNanos - IDLE_MARGIN_NANOS;
   }
 
   boolean isOpen() {
@@ -108,7 +108,7 @@
   public void channelRead(ChannelHandlerContext context, Object message) {
     try {
       if (call == null) {
-        // Nobody asked for these bytes.
+        // These bytes belong to no request.
         finish();
       } else if (((HttpObject) message).decoderResult().isFailure()) {
         failCall(CallFailure.Reason.MALFORMED);
@@ -126,7 +126,7 @@
     }
     if (part instanceof HttpContent content && call != null && hasHead) {
       ByteBuf bytes = content.content();
-      if (bytes.isReadable() && !isPassingOver) {
+      if (bytes.isReadable() && !isSkipping) {
         call.listener().onContent(bytes);
       }
       if (part instanceof LastHttpContent && call != null) {
@@ -140,30 +140,30 @@
       return;
     }
     hasHead = true;
-    isKept = isKept && HttpUtil.isKeepAlive(head);
-    readRestTime(head);
+    isKeptAlive = isKeptAlive && HttpUtil.isKeepAlive(head);
+    readIdleTimeout(head);
     HttpCall current = call;
     if (current != null && !current.listener().onHead(head)) {
-      // The answer is another request's: read over it, and never use the connection again.
-      isPassingOver = true;
-      isKept = false;
+      // The answer belongs to another request: skip it, and don't reuse the connection.
+      isSkipping = true;
+      isKeptAlive = false;
     }
   }
 
   private void readEnd() {
     if (isBroken) {
-      // The reset came before this end was made up for an answer without a length.
+      // The connection was reset; the decoder synthesized this end for an answer without a length.
       failCall(CallFailure.Reason.BROKEN);
       return;
     }
-    if (isPassingOver) {
-      isPassingOver = false;
+    if (isSkipping) {
+      isSkipping = false;
       hasHead = false;
       return;
     }
     HttpCall ended = call;
     call = null;
-    if (isKept && isOpen()) {
+    if (isKeptAlive && isOpen()) {
       setReading(true);
       pool.addIdle(this);
     } else {
@@ -174,7 +174,7 @@
     }
   }
 
-  private void readRestTime(HttpResponse head) {
+  private void readIdleTimeout(HttpResponse head) {
     String keepAlive = head.headers().get("Keep-Alive");
     if (keepAlive == null) {
       return;
@@ -183,7 +183,7 @@
     if (at >= 0) {
       String digits = keepAlive.substring(at + KEEP_ALIVE_TIMEOUT.length()).split("[^0-9]", 2)[0];
       if (!digits.isEmpty() && digits.length() <= 6) {
-        restNanos = TimeUnit.SECONDS.toNanos(Long.parseLong(digits));
+        maxIdleNanos = TimeUnit.SECONDS.toNanos(Long.parseLong(digits));
       }
     }
   }
@@ -196,7 +196,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // The cause is told to the call as BROKEN; its text adds nothing that decides.
+    // The call fails with BROKEN; the text of the cause affects no decision.
     isBroken = true;
     failCall(CallFailure.Reason.BROKEN);
     finish();
--- a/edge/src/main/java/org/shoreroad/edge/http/NumericAddress.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/NumericAddress.java
@@ -1,11 +1,11 @@
 package org.shoreroad.edge.http;
 
 /**
- * Check of addresses that other programs have written.
+ * Validation of addresses received from other programs.
  *
- * <p>Only an IPv4 address in numbers with a port is taken: a name would be looked up, which blocks
- * the event loop. Written out, since {@code java.util.regex} is loaded for nothing else at a start.
- * All methods are pure and thread-safe.
+ * <p>Only a numeric IPv4 address with a port is valid, since the lookup of a name blocks the event
+ * loop. Implemented without {@code java.util.regex}, which nothing else loads at startup. All
+ * methods are pure and thread-safe.
  *
  * @since 0.2
  */
--- a/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
@@ -13,35 +13,35 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call whose answer is taken as a whole, within a time. Used on the event loop only.
+ * Call that collects its complete answer, with a timeout. Not thread-safe: used on the event loop.
  *
  * @since 0.2
  */
 public final class WholeCall implements CallListener {
-  private final Callback taker;
+  private final Callback callback;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private @Nullable HttpCall call;
-  private @Nullable ScheduledFuture<?> limit;
+  private @Nullable ScheduledFuture<?> timeout;
   private int status;
   private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
 
-  private WholeCall(Callback taker) {
-    this.taker = taker;
+  private WholeCall(Callback callback) {
+    this.callback = callback;
   }
 
-  /** Takes the outcome of a call. */
+  /** Callback for the result of a call. */
   public interface Callback {
-    /** Takes an answer. */
+    /** Called with the complete answer. */
     void onAnswer(int status, HttpHeaders headers, byte[] body);
 
-    /** Hears that there is none. */
+    /** Called if there is no complete answer. */
     void onFailure(CallFailure failure);
   }
 
   /**
    * Sends a request.
    *
-   * @param timeoutMs the time for the whole answer, in milliseconds
+   * @param timeoutMs the time for the complete answer, in milliseconds
    */
   public static void send(
       HttpCalls calls,
@@ -49,19 +49,19 @@
       String address,
       FullHttpRequest request,
       int timeoutMs,
-      Callback taker) {
-    WholeCall whole = new WholeCall(taker);
+      Callback callback) {
+    WholeCall whole = new WholeCall(callback);
     whole.call = calls.send(address, request, Integer.MAX_VALUE, whole);
-    whole.limit = loop.schedule(whole::giveUp, timeoutMs, TimeUnit.MILLISECONDS);
+    whole.timeout = loop.schedule(whole::timeOut, timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  private void giveUp() {
+  private void timeOut() {
     HttpCall open = call;
     if (open != null) {
       call = null;
-      boolean hasLeft = open.isSent();
+      boolean isSent = open.isSent();
       open.cancel();
-      taker.onFailure(new CallFailure(CallFailure.Reason.TIMEOUT, hasLeft));
+      callback.onFailure(new CallFailure(CallFailure.Reason.TIMEOUT, isSent));
     }
   }
 
@@ -77,26 +77,26 @@
     try {
       content.readBytes(body, content.readableBytes());
     } catch (IOException e) {
-      throw new IllegalStateException("an array can't fail to be written", e);
+      throw new IllegalStateException("writing to an array failed", e);
     }
   }
 
   @Override
   public void onEnd() {
     finish();
-    taker.onAnswer(status, headers, body.toByteArray());
+    callback.onAnswer(status, headers, body.toByteArray());
   }
 
   @Override
   public void onFailure(CallFailure failure) {
     finish();
-    taker.onFailure(failure);
+    callback.onFailure(failure);
   }
 
   private void finish() {
     call = null;
-    if (limit != null) {
-      limit.cancel(false);
+    if (timeout != null) {
+      timeout.cancel(false);
     }
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/http/package-info.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP client side: kept connections to upstreams and the platform, one call at a time on each.
+ * HTTP client: keep-alive connections to upstreams and the platform, one call at a time on each.
  */
 @NullMarked
 package org.shoreroad.edge.http;
--- a/edge/src/test/java/org/shoreroad/edge/caller/CallerServerTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/caller/CallerServerTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.shoreroad.traffic.CallerLimits;
 
-/** Callers' connections over real sockets on loopback; short limits, no time is measured. */
+/** Tests of callers' connections over loopback sockets, with short limits. No time is measured. */
 class CallerServerTest {
   private static final CallerLimits LIMITS = new CallerLimits(2_000, 1_000, 300, 600);
   private static final int READ_TIMEOUT_MS = 10_000;
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Answers with the path, /late after a time, but for /cut, which breaks off, and /silent, which
-   * has no answer.
+   * Answers with the path. The answer to /late is delayed, the answer to /cut is aborted, /twice is
+   * answered a second time, and /silent gets no answer.
    */
   private CallerExchange begin(CallerRequest request, AnswerChannel answers) {
     bodies.add(request.body().toString(StandardCharsets.UTF_8));
@@ -95,7 +95,7 @@
         Unpooled.copiedBuffer(request.uri(), StandardCharsets.UTF_8));
   }
 
-  /** Sends bytes and returns what comes until the server closes. */
+  /** Sends the text and returns all that the server sends until it closes the connection. */
   private String send(String text) throws IOException {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       socket.setSoTimeout(READ_TIMEOUT_MS);
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void requestsSentAheadAreAnsweredInOrder() throws Exception {
+  void pipelinedRequestsAreAnsweredInOrder() throws Exception {
     String answers =
         send(
             "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\nGET /c HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void aRequestThatIsTheLastDoesNotEndThoseBeforeIt() throws Exception {
+  void lastRequestDoesNotEndTheOnesBeforeIt() throws Exception {
     String answers =
         send(
             "GET /late HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n"
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void manyRequestsSentAheadDoNotEndTheConnection() throws Exception {
+  void manyPipelinedRequestsDoNotEndTheConnection() throws Exception {
     int count = 200;
     StringBuilder requests = new StringBuilder("GET /late HTTP/1.1\r\n\r\n");
     for (int i = 1; i < count; i++) {
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void aBodyInChunksIsTakenWhole() throws Exception {
+  void chunkedBodyIsReadCompletely() throws Exception {
     send(
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
             + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
@@ -155,18 +155,18 @@
   }
 
   @Test
-  void aHeadThatNeverEndsIsRefused() throws Exception {
+  void headThatNeverEndsIsRefused() throws Exception {
     assertThat(send("GET /a HTTP/1.1\r\nHost: x"), startsWith("HTTP/1.1 408"));
     assertThat(bad, is(List.of("slow_head")));
   }
 
   @Test
-  void aRestingConnectionIsClosed() throws Exception {
+  void idleConnectionIsClosed() throws Exception {
     assertThat(send(""), is(""));
   }
 
   @Test
-  void aBodyThatIsTooLargeIsRefusedAtItsLimit() throws Exception {
+  void bodyIsRefusedAtItsSizeLimit() throws Exception {
     String chunk = "400\r\n" + "x".repeat(0x400) + "\r\n";
     assertThat(
         send("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk),
@@ -175,26 +175,26 @@
   }
 
   @Test
-  void whatIsNoRequestIsRefused() throws Exception {
+  void malformedRequestIsRefused() throws Exception {
     assertThat(send("nonsense\r\n\r\n"), startsWith("HTTP/1.1 400"));
   }
 
   @Test
-  void whatWasPassedOnLeavesBeforeAnAnswerIsBrokenOff() throws Exception {
+  void writtenPartsAreSentBeforeAnAnswerIsAborted() throws Exception {
     String answer = send("GET /cut HTTP/1.1\r\n\r\n");
     assertThat(answer, containsString("passed on"));
     assertThat(answer.endsWith("0\r\n\r\n"), is(false));
   }
 
   @Test
-  void aSecondAnswerInTheMiddleOfOneClosesTheConnection() throws Exception {
+  void secondAnswerDuringAnAnswerClosesTheConnection() throws Exception {
     String answer = send("GET /twice HTTP/1.1\r\n\r\n");
     assertThat(answer, startsWith("HTTP/1.1 200"));
     assertThat(answer.endsWith("0\r\n\r\n"), is(false));
   }
 
   @Test
-  void theLossOfTheCallerIsTold() throws Exception {
+  void lossOfTheCallerIsReported() throws Exception {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       socket.getOutputStream().write("GET /silent HTTP/1.1\r\n\r\n".getBytes());
       while (bodies.isEmpty()) {
@@ -208,14 +208,14 @@
   }
 
   @Test
-  void aStoppingServerSaysThatTheAnswerIsTheLast() throws Exception {
-    loop.submit(server::stopKeeping).sync();
+  void stoppingServerAnnouncesTheEndOfTheConnection() throws Exception {
+    loop.submit(server::disableKeepAlive).sync();
     String answer = send("GET /a HTTP/1.1\r\n\r\n");
     assertThat(answer.toLowerCase(), containsString("connection: close"));
   }
 
   @Test
-  void restingConnectionsCanBeClosedAtOnce() throws Exception {
+  void idleConnectionsCanBeClosedAtOnce() throws Exception {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       socket.setSoTimeout(READ_TIMEOUT_MS);
       InputStream in = socket.getInputStream();
@@ -224,7 +224,7 @@
       while (!answer.toString().endsWith("\r\n\r\n/a")) {
         answer.append((char) in.read());
       }
-      loop.submit(server::closeResting).sync();
+      loop.submit(server::closeIdle).sync();
       assertThat(in.read(), is(-1));
     }
   }
--- a/edge/src/test/java/org/shoreroad/edge/http/NumericAddressTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/http/NumericAddressTest.java
@@ -8,14 +8,14 @@
 
 class NumericAddressTest {
   @Test
-  void numbersWithAPortAreTaken() {
+  void numericAddressesWithAPortAreValid() {
     for (String text : List.of("10.0.0.1:7340", "0.0.0.0:1", "255.255.255.255:65535")) {
       assertThat(text, NumericAddress.isValid(text), is(true));
     }
   }
 
   @Test
-  void namesAndNumbersOutOfRangeAreNot() {
+  void namesAndNumbersOutOfRangeAreInvalid() {
     for (String text :
         List.of(
             "",
