--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
@@ -27,7 +27,7 @@
  */
 final class DomainObserver {
   /** Interval between report requests to a head that finishes its work before it closes. */
-  private static final long BUSY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(140);
+  private static final long CLOSING_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(140);
 
   /**
    * Interval between report requests to a box that joins, or whose replica has a suspected head.
@@ -47,7 +47,7 @@
    * The interval between report requests to an overdue box is the overdue time divided by this.
    * Loads that share the weight store take up to eight times as long as one alone.
    */
-  private static final long OVERDUE_PARTS = 5;
+  private static final long OVERDUE_DIVISOR = 5;
 
   /** Interval between report requests to a silent box during the first second of its silence. */
   private static final long NEWLY_SILENT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(130);
@@ -111,9 +111,9 @@
     for (FleetBox box : boxes) {
       FleetBox newest = fleet.find(box.id());
       if (newest != null) {
-        boolean isStandingStill = suspected.contains(box.id());
+        boolean isStalled = suspected.contains(box.id());
         observedBoxes.add(
-            observeBox(newest, suspectedMembers.contains(box.id()), isStandingStill, nowNanos));
+            observeBox(newest, suspectedMembers.contains(box.id()), isStalled, nowNanos));
       }
     }
     return observedBoxes;
@@ -172,7 +172,7 @@
   }
 
   private ObservedBox observeBox(
-      FleetBox box, boolean isSuspect, boolean isStandingStill, long nowNanos) {
+      FleetBox box, boolean isSuspect, boolean isStalled, long nowNanos) {
     ReachabilityTable reachability = monitor.reachability();
     boolean isListed = fleet.isListed(box.id());
     Reach reached = reachability.reach(box.id(), isSuspect, nowNanos);
@@ -193,8 +193,7 @@
     String lastModel = fleet.lastModel(box.id());
     // A box whose entry was removed serves on for a while, like one that announced its end.
     FleetBox seen = fleet.isEligible(box.id()) ? box : box.withLeaving();
-    return new ObservedBox(
-        seen, isListed, reached, isSteady, isConfirmed, isStandingStill, lastModel);
+    return new ObservedBox(seen, isListed, reached, isSteady, isConfirmed, isStalled, lastModel);
   }
 
   /** Returns the ids of the members of all replicas whose heads are suspected. */
@@ -240,7 +239,7 @@
         monitor.requestReport(
             box, formingIntervalNanos(nowNanos - formingDueNanos.get(id)), nowNanos);
       } else if (closing.contains(id)) {
-        monitor.requestReport(box, BUSY_INTERVAL_NANOS, nowNanos);
+        monitor.requestReport(box, CLOSING_INTERVAL_NANOS, nowNanos);
       }
       if (controller.needsReports()) {
         monitor.requestReport(box, CONFIRMING_INTERVAL_NANOS, nowNanos);
@@ -252,7 +251,7 @@
     if (overdueNanos < 0) {
       return LOADING_INTERVAL_NANOS;
     }
-    long intervalNanos = Math.max(FORMING_INTERVAL_NANOS, overdueNanos / OVERDUE_PARTS);
+    long intervalNanos = Math.max(FORMING_INTERVAL_NANOS, overdueNanos / OVERDUE_DIVISOR);
     return Math.min(LOADING_INTERVAL_NANOS, intervalNanos);
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReachabilityTable.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReachabilityTable.java
@@ -16,7 +16,7 @@
   /** Consecutive unanswered requests after which a box is lost. */
   private static final int LOST_AFTER_FAILURES = 2;
 
-  /** Time after an unanswered request, since one answer may be lost or late. */
+  /** Time since an unanswered request after which a box is lost; one answer may be lost or late. */
   private static final long LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(350);
 
   private final Map<String, Entry> entries = new HashMap<>();
