--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -293,7 +293,8 @@
     return new DomainReconciler(domain, ReconcilerTiming.DEFAULT, () -> leases.nextEpoch(key));
   }
 
-  private void sendOrder(String key, DomainReconciler controller, EngineSpec engine, BoxOrder order) {
+  private void sendOrder(
+      String key, DomainReconciler controller, EngineSpec engine, BoxOrder order) {
     FleetBox box = fleet.find(order.boxId());
     if (box == null) {
       return;
