--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
@@ -216,7 +216,7 @@
   /** Requests reports from the boxes of a domain, each at the interval that its state needs. */
   private void requestReports(
       String key,
-      DomainKeeper controller,
+      DomainReconciler controller,
       List<FleetBox> boxes,
       Set<String> suspectedMembers,
       long nowNanos) {
