--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -257,7 +257,7 @@
     long evidenceUntil = controller.evidenceUntilNanos();
     DispatchGuard guard =
         DispatchGuard.of(contactUntil - evidenceUntil < 0 ? contactUntil : evidenceUntil);
-    String loadName = request.wholeness().headLoadName();
+    String loadName = request.snapshot().headLoadName();
     EngineStream.Listener listener = new StreamListener(request);
     request.setCall(
         submission.isResume()
@@ -315,10 +315,10 @@
     }
     for (RunningRequest request : new ArrayList<>(running.values())) {
       if (request.isEnding()
-          && controller.isUnchangedSince(request.wholeness(), request.endedNanos())) {
+          && controller.isUnchangedSince(request.snapshot(), request.endedNanos())) {
         running.remove(request.submission().requestId());
         complete(request, nowNanos);
-      } else if (controller.isBroken(request.wholeness(), nowNanos)) {
+      } else if (controller.isBroken(request.snapshot(), nowNanos)) {
         running.remove(request.submission().requestId());
         request.fail(
             ShoreroadException.of(
@@ -347,7 +347,7 @@
     }
     // The engine goes on after a broken connection; its stream is taken up where it broke.
     if (isResumable
-        && !controller.isBroken(request.wholeness(), now)
+        && !controller.isBroken(request.snapshot(), now)
         && request.countResume() <= MAX_RESUMES) {
       metrics.countRetry("stream_resumed");
       send(request, request.submission().withResumeAfter(request.chunkCount()), now);
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -177,7 +177,7 @@
   public void onMessage(Node from, PeerMessage message) {
     if (message instanceof PeerMessage.Submit submit) {
       Submission submission = submit.submission();
-      submit(from.id(), submission, new PeerSink(transport, from, submission.requestId()));
+      submit(from.id(), submission, new PeerAnswerSink(transport, from, submission.requestId()));
     } else if (message instanceof PeerMessage.Cancel cancel) {
       cancel(cancel.requestId());
     }
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/PeerSink.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/PeerAnswerSink.java
@@ -13,7 +13,7 @@
  * @param gateway the gateway's process
  * @param requestId the request
  */
-record PeerSink(PeerLink link, Node gateway, String requestId) implements AnswerSink {
+record PeerAnswerSink(PeerLink link, Node gateway, String requestId) implements AnswerSink {
   private static final Runnable IGNORE = () -> {};
 
   @Override
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
@@ -18,7 +18,7 @@
  */
 final class RunningRequest {
   private final QueuedItem<PendingRequest> item;
-  private final ReplicaController.ReplicaSnapshot wholeness;
+  private final ReplicaController.ReplicaSnapshot snapshot;
   private final List<byte[]> held = new ArrayList<>();
   private long nextSequence;
   private boolean isOver;
@@ -30,7 +30,7 @@
 
   RunningRequest(QueuedItem<PendingRequest> item, ReplicaController.ReplicaSnapshot wholeness) {
     this.item = item;
-    this.wholeness = wholeness;
+    this.snapshot = wholeness;
     this.nextSequence = Math.max(0, item.value().submission().resumeAfter());
   }
 
@@ -43,8 +43,8 @@
   }
 
   /** Returns what the boxes showed when the request was sent. */
-  ReplicaController.ReplicaSnapshot wholeness() {
-    return wholeness;
+  ReplicaController.ReplicaSnapshot snapshot() {
+    return snapshot;
   }
 
   private AnswerSink sink() {
