--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/Admission.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/Admission.java
@@ -27,7 +27,7 @@
    * @return what counts it out; only its first call does
    * @throws ShoreroadException if the account has as many open as it may have
    */
-  Runnable enter(AccountSpec account) {
+  Runnable acquire(AccountSpec account) {
     AtomicInteger own = openByAccount.computeIfAbsent(account.name(), n -> new AtomicInteger());
     if (own.incrementAndGet() > account.maxOpen()) {
       own.decrementAndGet();
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatExchange.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatExchange.java
@@ -42,7 +42,7 @@
   private static final long RESUME_LIMIT_MS = 5_000;
   private static final long NO_REPLICA_RETRY_MS = 2_000;
 
-  private final GatewayParts parts;
+  private final GatewayContext parts;
   private final ChatRequest request;
   private final CallerAnswer answer;
   private final IntentClient.@Nullable Claim claim;
@@ -60,7 +60,7 @@
   private long resumeUntilNanos;
 
   ChatExchange(
-      GatewayParts parts,
+      GatewayContext parts,
       ChatRequest request,
       CallerAnswer answer,
       IntentClient.@Nullable Claim claim,
@@ -74,7 +74,7 @@
 
   /** Sends the request for the first time. */
   synchronized void start() {
-    parts.loads().budget(account(), request.chat().model()).recordAttempt();
+    parts.upstreams().budget(account(), request.chat().model()).recordAttempt();
     send();
   }
 
@@ -87,7 +87,7 @@
       }
       isOver = true;
       to = sentTo;
-      parts.loads().cancel(upstream(), System.nanoTime());
+      parts.upstreams().cancel(upstream(), System.nanoTime());
     }
     cancelAtOwner(to);
     parts.metrics().countRefusal(ErrorCode.CALLER_GONE, Verdict.MAY_HAVE_RUN);
@@ -131,7 +131,7 @@
     }
     isOver = true;
     long now = System.nanoTime();
-    parts.loads().succeed(upstream(), firstChunkNanos - sentNanos, now);
+    parts.upstreams().succeed(upstream(), firstChunkNanos - sentNanos, now);
     if (request.chat().isStreaming()) {
       answer.endEvents();
     } else {
@@ -161,9 +161,9 @@
     }
     long now = System.nanoTime();
     if (failure.code() == ErrorCode.QUEUE_FULL || failure.code() == ErrorCode.DEADLINE_PASSED) {
-      parts.loads().cancel(upstream(), now);
+      parts.upstreams().cancel(upstream(), now);
     } else {
-      parts.loads().fail(upstream(), now);
+      parts.upstreams().fail(upstream(), now);
     }
     parts.trace().add(request.requestId(), failure.code() + " " + failure.verdict());
     mayHaveRun |= failure.verdict() != Verdict.NOT_RUN;
@@ -199,7 +199,7 @@
   }
 
   private void repeat(ShoreroadException failure) {
-    if (!parts.loads().budget(account(), request.chat().model()).tryRetry()) {
+    if (!parts.upstreams().budget(account(), request.chat().model()).tryRetry()) {
       parts.metrics().count("shoreroad.gateway.retry.budget.empty");
       finishFailed(failure);
       return;
@@ -251,7 +251,7 @@
             .filter(number -> parts.owner().owners().owner(number).isPresent())
             .map(String::valueOf)
             .toList();
-    Optional<String> chosen = parts.loads().choose(candidates, request.chat().prefixKey(), now);
+    Optional<String> chosen = parts.upstreams().choose(candidates, request.chat().prefixKey(), now);
     if (chosen.isEmpty()) {
       long jitterMs = ThreadLocalRandom.current().nextLong(NO_REPLICA_RETRY_MS);
       finishFailed(
@@ -276,7 +276,7 @@
   private void sendTo(Node to, Submission submission) {
     sentTo = to;
     sentNanos = System.nanoTime();
-    parts.loads().start(upstream(), sentNanos);
+    parts.upstreams().start(upstream(), sentNanos);
     parts.trace().add(request.requestId(), "to generation " + generation + " at owner " + to.id());
     parts.link().submit(to, submission, this);
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ClaimGate.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ClaimGate.java
@@ -48,7 +48,7 @@
    * @param release called if the request does not pass
    * @param next takes the claim, or null if none is needed
    */
-  void pass(
+  void claimIfRequired(
       Caller caller,
       String requestId,
       HttpServerExchange exchange,
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayParts.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayContext.java
@@ -14,18 +14,18 @@
  * @param owner who owns which generation
  * @param link the way to the owners
  * @param intents the claims
- * @param loads what is known of each generation and service address
+ * @param upstreams what is known of each generation and service address
  * @param trace what happened to each request
  * @param metrics the counters
  * @param settings the settings
  * @param timer runs what is due later
  */
-record GatewayParts(
+record GatewayContext(
     ControlLog control,
     OwnerService owner,
     OwnerLink link,
     IntentClient intents,
-    UpstreamLoads loads,
+    UpstreamRegistry upstreams,
     RequestTrace trace,
     Metrics metrics,
     Settings settings,
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayService.java
@@ -61,8 +61,8 @@
   private final Settings settings;
   private final Contact contact;
   private final Metrics metrics;
-  private final GatewayParts parts;
-  private final ServiceCaller services;
+  private final GatewayContext parts;
+  private final ServiceClient services;
   private final ObjectMapper mapper = new ObjectMapper();
   private final Admission admission = new Admission();
   private final ClaimGate claims;
@@ -88,9 +88,9 @@
     this.metrics = metrics;
     this.timer = new ScheduledThreadPoolExecutor(1, task -> daemonThread(task, "gateway-timer"));
     this.parts =
-        new GatewayParts(
-            control, owner, link, intents, new UpstreamLoads(), trace, metrics, settings, timer);
-    this.services = new ServiceCaller(parts);
+        new GatewayContext(
+            control, owner, link, intents, new UpstreamRegistry(), trace, metrics, settings, timer);
+    this.services = new ServiceClient(parts);
     this.claims = new ClaimGate(intents, trace, this::refuseLater);
   }
 
@@ -280,8 +280,8 @@
     }
     Caller caller = checkCaller(exchange, configuration, "model/" + chat.model());
     ChatRequest request = new ChatRequest(ChatRequest.newId(), caller, chat, bytes, arrivedNanos);
-    Runnable release = admission.enter(caller.account());
-    claims.pass(
+    Runnable release = admission.acquire(caller.account());
+    claims.claimIfRequired(
         caller,
         request.requestId(),
         exchange,
@@ -316,9 +316,9 @@
                     ShoreroadException.notRun(
                         ErrorCode.NOT_FOUND, "no service '" + name + "' is declared"));
     Caller caller = checkCaller(exchange, configuration, service.key());
-    ServiceCaller.ServiceCall call = ServiceCaller.ServiceCall.of(exchange, caller, service, bytes);
-    Runnable release = admission.enter(caller.account());
-    claims.pass(
+    ServiceClient.ServiceCall call = ServiceClient.ServiceCall.of(exchange, caller, service, bytes);
+    Runnable release = admission.acquire(caller.account());
+    claims.claimIfRequired(
         caller,
         call.requestId(),
         exchange,
@@ -328,7 +328,7 @@
 
   private void startService(
       HttpServerExchange exchange,
-      ServiceCaller.ServiceCall call,
+      ServiceClient.ServiceCall call,
       IntentClient.@Nullable Claim claim,
       Runnable release) {
     CallerAnswer answer =
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/InFlight.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/InFlightRequests.java
@@ -13,7 +13,7 @@
  * <p>An answer reaches a sink only by its own request's id and from the process that the request
  * was handed to; anything else is late or foreign and is dropped. Thread-safe.
  */
-public final class InFlight {
+public final class InFlightRequests {
   private final ConcurrentMap<String, Entry> entryById = new ConcurrentHashMap<>();
 
   private record Entry(String ownerId, AnswerSink sink) {}
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/OwnerLink.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/OwnerLink.java
@@ -35,7 +35,7 @@
   private final OwnerService owner;
   private final PeerTransport transport;
   private final Metrics metrics;
-  private final InFlight inFlight = new InFlight();
+  private final InFlightRequests inFlight = new InFlightRequests();
 
   /** Creates the link. */
   @Inject
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ServiceCaller.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ServiceClient.java
@@ -27,13 +27,13 @@
  *
  * <p>Blocks the calling thread, which is one of the gateway's own pool. Thread-safe.
  */
-final class ServiceCaller {
+final class ServiceClient {
   private static final int MAX_ATTEMPTS = 3;
   private static final long RETRY_AFTER_MS = 1_000;
   private static final int UNAVAILABLE = 503;
   private static final int TOO_MANY = 429;
 
-  private final GatewayParts parts;
+  private final GatewayContext parts;
   private final OkHttpClient client =
       new OkHttpClient.Builder()
           .retryOnConnectionFailure(false)
@@ -42,7 +42,7 @@
           .addNetworkInterceptor(DispatchGuard::intercept)
           .build();
 
-  ServiceCaller(GatewayParts parts) {
+  ServiceClient(GatewayContext parts) {
     this.parts = parts;
   }
 
@@ -85,12 +85,12 @@
    * @param claim the claim of a call that may not be repeated, else null
    */
   void run(ServiceCall call, CallerAnswer answer, IntentClient.@Nullable Claim claim) {
-    parts.loads().budget(call.caller().account().name(), call.service().key()).recordAttempt();
+    parts.upstreams().budget(call.caller().account().name(), call.service().key()).recordAttempt();
     boolean mayHaveRun = false;
     ShoreroadException failure = noUpstream();
     List<String> left = new ArrayList<>(call.service().addresses());
     for (int attempt = 1; attempt <= MAX_ATTEMPTS && !left.isEmpty(); attempt++) {
-      Optional<String> address = parts.loads().choose(left, "", System.nanoTime());
+      Optional<String> address = parts.upstreams().choose(left, "", System.nanoTime());
       if (address.isEmpty()) {
         break;
       }
@@ -119,7 +119,7 @@
     boolean isSafe = failure.verdict().isSafeToRepeat() || call.caller().kind().isRepeatable();
     return isSafe
         && call.deadlineNanos() - System.nanoTime() > 0
-        && parts.loads().budget(call.caller().account().name(), call.service().key()).tryRetry();
+        && parts.upstreams().budget(call.caller().account().name(), call.service().key()).tryRetry();
   }
 
   private void finishFailed(
@@ -162,12 +162,12 @@
             .readTimeout(Duration.ofNanos(timeoutNanos))
             .callTimeout(Duration.ofNanos(timeoutNanos))
             .build();
-    parts.loads().start(address, sentNanos);
+    parts.upstreams().start(address, sentNanos);
     try (Response response = timed.newCall(request).execute()) {
       return take(response, address, sentNanos);
     } catch (IOException e) {
-      parts.loads().fail(address, System.nanoTime());
-      throw guard.hasPassed()
+      parts.upstreams().fail(address, System.nanoTime());
+      throw guard.mayHaveBeenSent()
           ? ShoreroadException.of(
               ErrorCode.UPSTREAM_FAILED,
               Verdict.MAY_HAVE_RUN,
@@ -180,13 +180,13 @@
 
   private ServiceAnswer take(Response response, String address, long sentNanos) throws IOException {
     if (response.code() == UNAVAILABLE || response.code() == TOO_MANY) {
-      parts.loads().fail(address, System.nanoTime());
+      parts.upstreams().fail(address, System.nanoTime());
       throw ShoreroadException.notRun(
           ErrorCode.UPSTREAM_REFUSED, "the service answered " + response.code(), RETRY_AFTER_MS);
     }
     byte[] body = response.body().bytes();
     long now = System.nanoTime();
-    parts.loads().succeed(address, now - sentNanos, now);
+    parts.upstreams().succeed(address, now - sentNanos, now);
     String type = response.header("Content-Type", "application/octet-stream");
     return new ServiceAnswer(response.code(), String.valueOf(type), body);
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/UpstreamLoads.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/UpstreamRegistry.java
@@ -14,7 +14,7 @@
  *
  * <p>An upstream is a generation of a model or an address of a plain service. Thread-safe.
  */
-final class UpstreamLoads {
+final class UpstreamRegistry {
   private static final double NANOS_PER_MS = 1e6;
   private static final int MAX_KNOWN = 10_000;
 
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/DispatchGuard.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/DispatchGuard.java
@@ -15,7 +15,7 @@
  */
 public final class DispatchGuard {
   private final long validUntilNanos;
-  private volatile boolean hasPassed;
+  private volatile boolean mayHaveBeenSent;
 
   private DispatchGuard(long validUntilNanos) {
     this.validUntilNanos = validUntilNanos;
@@ -27,28 +27,28 @@
   }
 
   /** Returns true if bytes may have left. */
-  public boolean hasPassed() {
-    return hasPassed;
+  public boolean mayHaveBeenSent() {
+    return mayHaveBeenSent;
   }
 
   /** Lets bytes leave or not; from then on they may have left. */
-  boolean tryPass(long nowNanos) {
+  boolean tryMarkSent(long nowNanos) {
     if (validUntilNanos - nowNanos <= 0) {
       return false;
     }
-    hasPassed = true;
+    mayHaveBeenSent = true;
     return true;
   }
 
   /** Lets bytes leave if the time allows it, by this process's clock. */
   public boolean tryPassNow() {
-    return tryPass(System.nanoTime());
+    return tryMarkSent(System.nanoTime());
   }
 
   /** Checks the guard that a request carries. */
   public static Response intercept(Interceptor.Chain chain) throws IOException {
     DispatchGuard guard = chain.request().tag(DispatchGuard.class);
-    if (guard != null && !guard.tryPass(System.nanoTime())) {
+    if (guard != null && !guard.tryMarkSent(System.nanoTime())) {
       throw new IOException("the evidence ran out before the request left");
     }
     return chain.proceed(chain.request());
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/EngineStream.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/EngineStream.java
@@ -81,7 +81,7 @@
 
   @Override
   public void onFailure(Call call, IOException e) {
-    if (guard.hasPassed() || submission.isResume()) {
+    if (guard.mayHaveBeenSent() || submission.isResume()) {
       fail(ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, "the engine broke off", true);
     } else {
       fail(ErrorCode.UPSTREAM_UNREACHABLE, Verdict.NOT_RUN, "the engine can't be reached", false);
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -75,7 +75,7 @@
   }
 
   /** Returns true if the end of some answer waits for the boxes to answer. */
-  boolean isCertifying() {
+  boolean isConfirmingEnd() {
     return running.values().stream().anyMatch(RunningRequest::isEnding);
   }
 
@@ -275,12 +275,12 @@
 
     @Override
     public void onChunk(byte[] bytes) {
-      request.takeChunk(bytes);
+      request.forwardChunk(bytes);
     }
 
     @Override
     public void onComplete(List<byte[]> held, long tokens) {
-      request.takeEndMarker(held, tokens, System.nanoTime());
+      request.recordEndMarker(held, tokens, System.nanoTime());
       post(() -> certify());
     }
 
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -209,7 +209,7 @@
                 entry.getValue().runningCount() == 0
                     && (state.generation(entry.getKey()).isEmpty() || !isOwned(entry.getKey())));
     publish(state, nowNanos);
-    if (replicas.values().stream().anyMatch(OwnedReplica::isCertifying)) {
+    if (replicas.values().stream().anyMatch(OwnedReplica::isConfirmingEnd)) {
       return CERTIFYING_TICK_MS;
     }
     return snapshot.running() + snapshot.queued() > 0 ? BUSY_TICK_MS : IDLE_TICK_MS;
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
@@ -58,14 +58,14 @@
     }
   }
 
-  synchronized void takeChunk(byte[] bytes) {
+  synchronized void forwardChunk(byte[] bytes) {
     if (!isOver) {
       sink().onChunk(nextSequence++, bytes);
     }
   }
 
   /** Notes the engine's end marker; the end is told only once the replica is known to be whole. */
-  synchronized void takeEndMarker(List<byte[]> last, long tokenCount, long nowNanos) {
+  synchronized void recordEndMarker(List<byte[]> last, long tokenCount, long nowNanos) {
     held.addAll(last);
     tokens = tokenCount;
     isEnding = true;
--- a/daemon/src/test/java/org/shoreroad/daemon/gateway/InFlightTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/gateway/InFlightRequestsTest.java
@@ -12,7 +12,7 @@
 import org.shoreroad.daemon.request.AnswerSink;
 
 /** An answer reaches its own request's sink, from its own owner, at most once. */
-public class InFlightTest {
+public class InFlightRequestsTest {
   private static final AnswerSink SINK =
       new AnswerSink() {
         @Override
@@ -25,7 +25,7 @@
         public void onFailure(ShoreroadException failure) {}
       };
 
-  private final InFlight inFlight = new InFlight();
+  private final InFlightRequests inFlight = new InFlightRequests();
 
   /** An operation that the checker interleaves. */
   @Operation
@@ -52,7 +52,7 @@
         .invocationsPerIteration(300)
         .threads(2)
         .actorsPerThread(3)
-        .check(InFlightTest.class);
+        .check(InFlightRequestsTest.class);
   }
 
   @Test
--- a/daemon/src/test/java/org/shoreroad/daemon/owner/EngineStreamTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/owner/EngineStreamTest.java
@@ -78,7 +78,7 @@
         new Submission("r-1", 1, "a", 1, 0, 1, 1, 1, isStreaming, -1, new byte[0]);
     DispatchGuard guard = DispatchGuard.of(100);
     if (hasLeft) {
-      guard.tryPass(0);
+      guard.tryMarkSent(0);
     }
     return new EngineStream("m", "m~1~x", submission, guard, new ObjectMapper(), told);
   }
@@ -137,9 +137,9 @@
   @Test
   void testTryPass_expiredEvidenceLetsNothingLeave() {
     DispatchGuard guard = DispatchGuard.of(100);
-    assertThat(guard.tryPass(100), is(false));
-    assertThat(guard.hasPassed(), is(false));
-    assertThat(guard.tryPass(99), is(true));
-    assertThat(guard.hasPassed(), is(true));
+    assertThat(guard.tryMarkSent(100), is(false));
+    assertThat(guard.mayHaveBeenSent(), is(false));
+    assertThat(guard.tryMarkSent(99), is(true));
+    assertThat(guard.mayHaveBeenSent(), is(true));
   }
 }
