--- a/daemon/src/main/java/org/shoreroad/daemon/request/AnswerSink.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/request/AnswerSink.java
@@ -3,25 +3,25 @@
 import org.shoreroad.ShoreroadException;
 
 /**
- * Where an answer goes, piece by piece.
+ * Receiver of the answer to one request, chunk by chunk.
  *
- * <p>The calls for one request come one after the other: any number of chunks with rising sequence
- * numbers, then exactly one end or failure. Implementations don't block.
+ * <p>The calls for one request are never concurrent: any number of chunks with increasing sequence
+ * numbers, then exactly one end or failure. Implementations must not block.
  *
  * @since 0.1
  */
 public interface AnswerSink {
   /**
-   * Takes the next piece.
+   * Receives the next chunk.
    *
-   * @param sequence its number, from 0
-   * @param bytes the piece, not to be written to
+   * @param sequence the number of the chunk, from 0
+   * @param bytes the chunk, which must not be modified
    */
   void onChunk(long sequence, byte[] bytes);
 
-  /** Takes the end: the answer is whole. */
+  /** Called when the answer is complete. */
   void onEnd();
 
-  /** Takes the failure: the answer is not whole, and nothing more comes. */
+  /** Called when the answer is incomplete and no further chunks follow. */
   void onFailure(ShoreroadException failure);
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/request/Submission.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/request/Submission.java
@@ -3,20 +3,21 @@
 import java.util.Objects;
 
 /**
- * A caller's request on its way from the gateway to the owner of a replica.
+ * A caller's request as the gateway sends it to the owner of a replica.
  *
- * <p>This class is immutable; the body is shared and must not be written to. Thread-safe.
+ * <p>This class is immutable; the body is shared and must not be modified. Thread-safe.
  *
- * @param requestId the id of the request, unique for ever
- * @param generation the generation it is meant for
+ * @param requestId the id of the request, never reused
+ * @param generation the number of the generation that runs it
  * @param account the client account
- * @param accountWeight the account's share, 1 or more
+ * @param accountWeight the account's weight in fair queueing, 1 or more
  * @param priority the kind's priority, 0 (first) to 9 (last)
- * @param expectedTokens how many tokens it is expected to need, positive
- * @param costWeight how much one of its tokens counts, 1 or more
- * @param waitMs how long it may wait before it is started, in milliseconds
- * @param isStreaming whether the caller wants the answer token by token
- * @param resumeAfter how many events of the answer the gateway holds already, or {@link #NO_RESUME}
+ * @param expectedTokens the expected number of tokens of prompt and answer, positive
+ * @param costWeight the cost of one token, 1 or more
+ * @param waitMs the longest time in the queue, in milliseconds
+ * @param isStreaming whether the caller requested a token stream
+ * @param resumeAfter the number of events that the gateway has received already, or {@link
+ *     #NO_RESUME}
  * @param body the request's body, as the caller sent it
  * @since 0.1
  */
@@ -32,10 +33,10 @@
     boolean isStreaming,
     long resumeAfter,
     byte[] body) {
-  /** Stands for a request that is not to be resumed but run. */
+  /** Value of {@code resumeAfter} for a request that is run from its beginning. */
   public static final long NO_RESUME = -1;
 
-  /** Checks that no part is missing. */
+  /** Checks that no component is null. */
   public Submission {
     Objects.requireNonNull(requestId, "requestId");
     Objects.requireNonNull(account, "account");
@@ -47,7 +48,7 @@
     return expectedTokens * costWeight;
   }
 
-  /** Returns true if the engine's stream is to be taken up again, not the request run. */
+  /** Returns true if the engine's existing stream is resumed instead of running the request. */
   public boolean isResume() {
     return resumeAfter != NO_RESUME;
   }
@@ -68,7 +69,7 @@
         body);
   }
 
-  /** Returns a copy that takes up the answer after so many events. */
+  /** Returns a copy that resumes the answer after this number of events. */
   public Submission withResumeAfter(long events) {
     return new Submission(
         requestId,
--- a/daemon/src/main/java/org/shoreroad/daemon/request/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/request/package-info.java
@@ -1,4 +1,4 @@
-/** What a gateway hands to an owner, and how the answer comes back. */
+/** The request that a gateway sends to an owner, and the receiver of its answer. */
 @NullMarked
 package org.shoreroad.daemon.request;
 
