--- a/daemon/src/main/java/org/shoreroad/daemon/owner/DispatchGuard.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/DispatchGuard.java
@@ -5,11 +5,13 @@
 import okhttp3.Response;
 
 /**
- * The last check before the bytes of a request leave, and the memory of whether they may have left.
+ * Deadline check before the first byte of a request is sent, and a record of whether any byte may
+ * have been sent.
  *
- * <p>The evidence for a replica and the contact of this process count until a moment of the
- * monotonic clock. The check is made after the connection stands, immediately before the first byte
- * is written, so a pause before it can't let old work out. Thread-safe.
+ * <p>The health evidence of a replica and the permission of this process to serve are valid until a
+ * time of the monotonic clock. The check runs after the connection is established, immediately
+ * before the first byte is written, so that a process pause before it can't send an expired
+ * request. Thread-safe.
  *
  * @since 0.1
  */
@@ -21,17 +23,17 @@
     this.validUntilNanos = validUntilNanos;
   }
 
-  /** Returns a guard that lets bytes leave until this moment of the monotonic clock. */
+  /** Returns a guard that allows sending before this time of the monotonic clock, in ns. */
   public static DispatchGuard of(long validUntilNanos) {
     return new DispatchGuard(validUntilNanos);
   }
 
-  /** Returns true if bytes may have left. */
+  /** Returns true if bytes of the request may have been sent. */
   public boolean mayHaveBeenSent() {
     return mayHaveBeenSent;
   }
 
-  /** Lets bytes leave or not; from then on they may have left. */
+  /** Returns true and records that bytes may have been sent, unless the deadline has passed. */
   boolean tryMarkSent(long nowNanos) {
     if (validUntilNanos - nowNanos <= 0) {
       return false;
@@ -40,16 +42,20 @@
     return true;
   }
 
-  /** Lets bytes leave if the time allows it, by this process's clock. */
-  public boolean tryPassNow() {
+  /** Calls {@link #tryMarkSent} with the current time of the monotonic clock. */
+  public boolean tryMarkSentNow() {
     return tryMarkSent(System.nanoTime());
   }
 
-  /** Checks the guard that a request carries. */
+  /**
+   * Checks the guard that is attached to a request, if any, and proceeds.
+   *
+   * @throws IOException if the deadline of the guard has passed, or if sending fails
+   */
   public static Response intercept(Interceptor.Chain chain) throws IOException {
     DispatchGuard guard = chain.request().tag(DispatchGuard.class);
     if (guard != null && !guard.tryMarkSent(System.nanoTime())) {
-      throw new IOException("the evidence ran out before the request left");
+      throw new IOException("the health evidence expired before the request was sent");
     }
     return chain.proceed(chain.request());
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/EngineClient.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/EngineClient.java
@@ -31,10 +31,10 @@
 import org.shoreroad.state.Generation;
 
 /**
- * Speaks to the model engines: probes, orders and requests.
+ * HTTP client of the model engines: probes, load and unload orders, and requests.
  *
- * <p>Nothing is ever sent twice here: OkHttp's own retries are off, so each load order leaves at
- * most once under its name, and each request at most once. Thread-safe.
+ * <p>This class never retries, and OkHttp's own retries are off: each load order is sent at most
+ * once under its name, and each request at most once. Thread-safe.
  *
  * @since 0.1
  */
@@ -53,7 +53,7 @@
   private static final long IDLE_THREAD_SECONDS = 10;
   private static final long IDLE_CONNECTION_SECONDS = 60;
 
-  /** Whether an order took effect only a probe tells, so its answer is not read. */
+  /** Discards the response to an order; only a later probe shows whether it took effect. */
   private static final Callback IGNORE =
       new Callback() {
         @Override
@@ -118,16 +118,16 @@
     return dispatcher;
   }
 
-  /** Takes in the result of a probe, on a thread of the client. */
+  /** Receives the result of a probe, on a thread of the client. */
   public interface ProbeListener {
-    /** The box answered. */
+    /** Called if the box sent a valid report. */
     void onReport(BoxReport report, long sentNanos);
 
-    /** The box did not answer, or not in form. */
+    /** Called if the box did not answer or its report is invalid. */
     void onFailure(long sentNanos);
   }
 
-  /** Probes a box. */
+  /** Requests the health report of a box, asynchronously. */
   public void probe(Box box, ProbeListener listener) {
     long sentNanos = System.nanoTime();
     Request request = new Request.Builder().url(url(box, "/health")).build();
@@ -156,9 +156,9 @@
 
   private BoxReport parseReport(Box box, Response response) throws IOException {
     JsonNode root = mapper.readTree(response.body().bytes());
-    // A report of another box, at an address that was given away anew, is no report of this one.
+    // The address may have been reassigned to another box, whose report must not be used.
     if (!response.isSuccessful() || !root.path("box").asText().equals(box.name())) {
-      throw new IOException("no report of " + box.name());
+      throw new IOException("no valid report of box " + box.name());
     }
     List<BoxReport.Load> loads = new ArrayList<>();
     for (JsonNode load : root.path("loads")) {
@@ -171,7 +171,7 @@
     return new BoxReport(root.path("boot_id").asText(), loads, root.path("running").asInt());
   }
 
-  /** Orders a box to load, once. */
+  /** Sends an order to load a model, once. */
   public void orderLoad(Generation generation, String version, Box box, LoadName name, int rank) {
     ObjectNode body = mapper.createObjectNode();
     body.put("name", name.toString());
@@ -183,7 +183,7 @@
     order(box, "/orders/load", generation.fencingNumber(), body);
   }
 
-  /** Orders a box to unload, once. */
+  /** Sends an order to unload a model, once. */
   public void orderUnload(Generation generation, Box box, String loadName) {
     ObjectNode body = mapper.createObjectNode();
     body.put("name", loadName);
@@ -205,11 +205,11 @@
    * Sends a request to the head of a replica.
    *
    * @param generation the generation
-   * @param loadName the name that the head's load was read back under
+   * @param loadName the name of the load as the head box reported it
    * @param submission the request
-   * @param guard checked when the connection stands and no byte has left yet
-   * @param listener takes the answer, on a thread of the client
-   * @return the call, to be cancelled
+   * @param guard checked when the connection is established and no byte has been sent yet
+   * @param listener receives the answer, on a thread of the client
+   * @return the call, for cancelling it
    */
   public Call run(
       Generation generation,
@@ -228,7 +228,7 @@
     return enqueue(request, guard, generation, loadName, submission, listener);
   }
 
-  /** Takes up the engine's stream of a request after so many events. */
+  /** Resumes the engine's stream of a request after the events that were received already. */
   public Call resume(
       Generation generation,
       String loadName,
@@ -244,7 +244,7 @@
     return enqueue(request, guard, generation, loadName, submission, listener);
   }
 
-  /** Tells the engine that nobody wants the rest of a request's stream. */
+  /** Asks the engine to cancel a request, since no caller waits for the rest of its stream. */
   public void cancel(Generation generation, String requestId) {
     Request request =
         new Request.Builder()
@@ -273,7 +273,7 @@
       root.put("model", loadName);
       return mapper.writeValueAsBytes(root);
     } catch (IOException e) {
-      throw new IllegalStateException("the gateway let a malformed body pass", e);
+      throw new IllegalStateException("the gateway accepted a malformed body", e);
     }
   }
 
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/EngineStream.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/EngineStream.java
@@ -17,11 +17,12 @@
 import org.shoreroad.daemon.request.Submission;
 
 /**
- * Reads one answer of an engine and tells its pieces, its end, or what went wrong.
+ * Reads one answer of an engine and reports its chunks, its end or its failure to a listener.
  *
- * <p>From the event that carries a finish reason on, nothing is passed on but kept for the end, so
- * that an answer looks finished only when the owner has found the replica whole to its end. An
- * answer without its end marker is a failure, whatever came of it. Used on one thread.
+ * <p>The event with the finish reason and all later events are held back until the owner has
+ * confirmed that the replica was unchanged until the end of the answer; before that the answer must
+ * not look finished. An answer without its end marker is a failure, however much of it arrived. Not
+ * thread-safe: used on one thread.
  */
 final class EngineStream implements Callback {
   private static final String DATA = "data: ";
@@ -42,24 +43,24 @@
   private final List<byte[]> held = new ArrayList<>();
   private long events;
 
-  /** Takes the answer. */
+  /** Receives the answer. */
   interface Listener {
-    /** The next piece. */
+    /** Called for the next chunk. */
     void onChunk(byte[] bytes);
 
     /**
-     * The engine's end marker came.
+     * Called when the engine's end marker arrived.
      *
-     * @param held the last pieces, to be passed on once the replica is known to be whole
-     * @param tokens how many tokens were generated
+     * @param held the last chunks, to be forwarded once the replica is confirmed to be unchanged
+     * @param tokens the number of generated tokens
      */
     void onComplete(List<byte[]> held, long tokens);
 
     /**
-     * It went wrong.
+     * Called when the request or its answer failed.
      *
-     * @param failure what happened
-     * @param isResumable whether the engine's stream may be taken up again
+     * @param failure the failure
+     * @param isResumable whether the engine's stream may be resumed
      */
     void onFailure(ShoreroadException failure, boolean isResumable);
   }
@@ -82,7 +83,11 @@
   @Override
   public void onFailure(Call call, IOException e) {
     if (guard.mayHaveBeenSent() || submission.isResume()) {
-      fail(ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, "the engine broke off", true);
+      fail(
+          ErrorCode.UPSTREAM_FAILED,
+          Verdict.MAY_HAVE_RUN,
+          "the connection to the engine failed",
+          true);
     } else {
       fail(ErrorCode.UPSTREAM_UNREACHABLE, Verdict.NOT_RUN, "the engine can't be reached", false);
     }
@@ -92,16 +97,24 @@
   public void onResponse(Call call, Response response) {
     try (response) {
       if (!response.isSuccessful()) {
-        refuse(response.code());
+        failWithStatus(response.code());
       } else if (!isOwnAnswer(response)) {
-        fail(ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, "another request's answer", false);
+        fail(
+            ErrorCode.UPSTREAM_FAILED,
+            Verdict.MAY_HAVE_RUN,
+            "the answer has the id of another request",
+            false);
       } else if (submission.isStreaming()) {
         readEvents(response.body().source());
       } else {
-        readWhole(response.body().bytes());
+        readSingleAnswer(response.body().bytes());
       }
     } catch (IOException e) {
-      fail(ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, "the engine broke off", true);
+      fail(
+          ErrorCode.UPSTREAM_FAILED,
+          Verdict.MAY_HAVE_RUN,
+          "the connection to the engine failed",
+          true);
     }
   }
 
@@ -110,8 +123,8 @@
     return id == null || id.equals(submission.requestId());
   }
 
-  /** Only these answers say explicitly that the engine did not take the request. */
-  private void refuse(int status) {
+  /** Reports an error status; only these statuses state that the engine rejected the request. */
+  private void failWithStatus(int status) {
     boolean isRefusal =
         status == NOT_FOUND || status == CONFLICT || status == TOO_MANY || status == UNAVAILABLE;
     String message = "the engine answered " + status;
@@ -126,7 +139,7 @@
     while (true) {
       String line = source.readUtf8Line();
       if (line == null) {
-        throw new IOException("no end marker");
+        throw new IOException("the stream ended without its end marker");
       }
       if (!line.startsWith(DATA)) {
         continue;
@@ -137,15 +150,16 @@
         return;
       }
       if (data.startsWith("{\"error\"")) {
-        fail(ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, "the engine gave up", false);
+        fail(
+            ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, "the engine reported an error", false);
         return;
       }
       events++;
-      take(DATA + withModelName(data) + "\n\n", data.contains(FINISH));
+      forwardOrHold(DATA + withModelName(data) + "\n\n", data.contains(FINISH));
     }
   }
 
-  private void take(String event, boolean isFinish) {
+  private void forwardOrHold(String event, boolean isFinish) {
     byte[] bytes = event.getBytes(StandardCharsets.UTF_8);
     if (isFinish || !held.isEmpty()) {
       held.add(bytes);
@@ -154,11 +168,15 @@
     }
   }
 
-  private void readWhole(byte[] bytes) throws IOException {
+  private void readSingleAnswer(byte[] bytes) throws IOException {
     JsonNode root = mapper.readTree(bytes);
     JsonNode reason = root.path("choices").path(0).path("finish_reason");
     if (!reason.isTextual()) {
-      fail(ErrorCode.UPSTREAM_FAILED, Verdict.MAY_HAVE_RUN, "the answer has no end", false);
+      fail(
+          ErrorCode.UPSTREAM_FAILED,
+          Verdict.MAY_HAVE_RUN,
+          "the answer has no finish reason",
+          false);
       return;
     }
     String text = withModelName(new String(bytes, StandardCharsets.UTF_8));
@@ -166,7 +184,7 @@
     listener.onComplete(held, root.path("usage").path("completion_tokens").asLong());
   }
 
-  /** Callers know the declared name, not the one the model is loaded under. */
+  /** Replaces the load name by the declared model name, which is the one that callers use. */
   private String withModelName(String json) {
     return json.replace(loadName, model);
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -24,20 +24,20 @@
 import org.shoreroad.replica.ReplicaController;
 
 /**
- * One generation that this process owns: its probes, its queue and its running requests.
+ * The probes, the request queue and the running requests of one generation that this process owns.
  *
- * <p>Belongs to the owner's thread.
+ * <p>Not thread-safe: used only on the owner's thread.
  */
 final class OwnedReplica {
   private static final long NO_REPLICA_RETRY_MS = 2_000;
-  private static final long CERTIFY_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+  private static final long MIN_PROBE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
   private static final int MAX_RESUMES = 2;
 
   private final ReplicaController controller;
   private final EngineClient engines;
   private final Contact contact;
   private final Metrics metrics;
-  private final Duty duty;
+  private final Duty ownerThread;
   private final long probeNanos;
   private final FairQueue<PendingRequest> queue = new FairQueue<>(0);
   private final DrainRate drainRate;
@@ -52,18 +52,18 @@
       EngineClient engines,
       Contact contact,
       Metrics metrics,
-      Duty duty,
+      Duty ownerThread,
       long probeNanos,
       long nowNanos) {
     this.controller = controller;
     this.engines = engines;
     this.contact = contact;
     this.metrics = metrics;
-    this.duty = duty;
+    this.ownerThread = ownerThread;
     this.probeNanos = probeNanos;
     this.drainRate = new DrainRate(nowNanos);
     this.nextProbeNanos = nowNanos;
-    this.lastProbeNanos = nowNanos - CERTIFY_GAP_NANOS;
+    this.lastProbeNanos = nowNanos - MIN_PROBE_INTERVAL_NANOS;
   }
 
   ReplicaController controller() {
@@ -74,7 +74,7 @@
     return running.size();
   }
 
-  /** Returns true if the end of some answer waits for the boxes to answer. */
+  /** Returns true if the end of an answer is held back until the boxes have answered a probe. */
   boolean isConfirmingEnd() {
     return running.values().stream().anyMatch(RunningRequest::isEnding);
   }
@@ -83,7 +83,7 @@
     return queue.size();
   }
 
-  /** Takes over the model's bounds as declared. */
+  /** Sets the limits on running and queued requests from the declared model. */
   void setModel(ModelSpec model) {
     maxRunning = model.maxRunning();
     queue.setCapacity(model.maxQueued());
@@ -93,7 +93,7 @@
     return controller.findFreshSnapshot(nowNanos).isPresent();
   }
 
-  /** Takes in a request: queued, or refused at once. */
+  /** Starts, queues or refuses a request. */
   void submit(PendingRequest request, long nowNanos) {
     ShoreroadException refusal = findRefusal(nowNanos);
     if (refusal != null) {
@@ -109,14 +109,14 @@
             s.priority(),
             s.cost(),
             nowNanos + TimeUnit.MILLISECONDS.toNanos(s.waitMs()));
-    // A resume has its place in the engine already; what can be started at once needs none here.
-    boolean isFree = running.size() < maxRunning && queue.size() == 0;
-    if (s.isResume() || isFree) {
+    // A resumed request is already running in the engine, and a free slot needs no queueing.
+    boolean hasFreeSlot = running.size() < maxRunning && queue.size() == 0;
+    if (s.isResume() || hasFreeSlot) {
       dispatch(item, nowNanos);
       return;
     }
     FairQueue.OfferResult<PendingRequest> offered = queue.offer(item);
-    offered.displaced().ifPresent(victim -> refuseFull(victim.value(), nowNanos));
+    offered.displaced().ifPresent(displaced -> refuseFull(displaced.value(), nowNanos));
     if (!offered.isAccepted()) {
       refuseFull(request, nowNanos);
     }
@@ -129,41 +129,45 @@
     }
     if (!contact.mayServe(nowNanos)) {
       return ShoreroadException.notRun(
-          ErrorCode.OUT_OF_CONTACT, "the owner is out of contact", NO_REPLICA_RETRY_MS);
+          ErrorCode.OUT_OF_CONTACT,
+          "the owner reaches neither the log nor enough peers",
+          NO_REPLICA_RETRY_MS);
     }
     if (!isServing(nowNanos)) {
-      return notWhole();
+      return notReady();
     }
     return null;
   }
 
-  private static ShoreroadException notWhole() {
+  private static ShoreroadException notReady() {
     long jitterMs = ThreadLocalRandom.current().nextLong(NO_REPLICA_RETRY_MS / 2);
     return ShoreroadException.notRun(
-        ErrorCode.NO_REPLICA, "the replica is not whole", NO_REPLICA_RETRY_MS + jitterMs);
+        ErrorCode.NO_REPLICA, "the replica is not ready", NO_REPLICA_RETRY_MS + jitterMs);
   }
 
-  /** Does what is due. */
+  /** Sends due probes, refuses overdue requests and starts queued ones. */
   void tick(long nowNanos) {
     if (nowNanos - nextProbeNanos >= 0) {
       nextProbeNanos = nowNanos + probeNanos;
       probeAll(nowNanos);
     }
-    for (QueuedItem<PendingRequest> late : queue.removeOverdue(nowNanos)) {
+    for (QueuedItem<PendingRequest> overdue : queue.removeOverdue(nowNanos)) {
       long retryMs = retryAfterMs(nowNanos);
       refuse(
-          late.value(),
+          overdue.value(),
           ShoreroadException.notRun(
-              ErrorCode.DEADLINE_PASSED, "it waited past its deadline", retryMs));
+              ErrorCode.DEADLINE_PASSED,
+              "the deadline passed while the request was queued",
+              retryMs));
     }
     checkRunning(nowNanos);
     if (queue.size() > 0 && (!isServing(nowNanos) || !contact.mayServe(nowNanos))) {
-      refuseQueued(notWhole());
+      refuseQueued(notReady());
     }
     dispatchWaiting(nowNanos);
   }
 
-  /** Ends the intake: what waits is refused at once and can go to another owner. */
+  /** Refuses new and queued requests from now on, so that they can go to another owner. */
   void closeIntake() {
     if (isIntakeOpen) {
       isIntakeOpen = false;
@@ -171,12 +175,12 @@
     }
   }
 
-  /** Opens the intake again. */
+  /** Accepts new requests again. */
   void openIntake() {
     isIntakeOpen = true;
   }
 
-  /** Gives up a request that nobody waits for. */
+  /** Cancels a request whose caller has disconnected. */
   void cancel(String requestId) {
     queue.removeIf(item -> item.value().submission().requestId().equals(requestId));
     RunningRequest request = running.remove(requestId);
@@ -186,23 +190,23 @@
     }
   }
 
-  /** Gives up all requests of a gateway that is gone; the engine's streams stay for a resume. */
+  /** Cancels all requests of a gateway whose link was lost. */
   void dropGateway(String gatewayId) {
     queue.removeIf(item -> item.value().gatewayId().equals(gatewayId));
     running
         .values()
         .removeIf(
             request -> {
-              boolean isOf = request.item().value().gatewayId().equals(gatewayId);
-              if (isOf) {
+              boolean isFromGateway = request.item().value().gatewayId().equals(gatewayId);
+              if (isFromGateway) {
                 request.abandon();
                 engines.cancel(controller.generation(), request.submission().requestId());
               }
-              return isOf;
+              return isFromGateway;
             });
   }
 
-  /** Fails all running requests, since the replica can't finish them. */
+  /** Fails all running requests, since the replica can no longer finish them. */
   void failRunning(ErrorCode code, String message) {
     ShoreroadException failure =
         ShoreroadException.of(code, Verdict.MAY_HAVE_RUN, message, NO_REPLICA_RETRY_MS);
@@ -219,7 +223,7 @@
           new EngineClient.ProbeListener() {
             @Override
             public void onReport(BoxReport report, long sentNanos) {
-              duty.tryPost(
+              ownerThread.tryPost(
                   () -> {
                     controller.recordReport(box.name(), report, sentNanos);
                     checkRunning(System.nanoTime());
@@ -229,7 +233,7 @@
             @Override
             public void onFailure(long sentNanos) {
               metrics.count("shoreroad.owner.probe.failures");
-              duty.tryPost(() -> controller.recordFailure(box.name(), sentNanos));
+              ownerThread.tryPost(() -> controller.recordFailure(box.name(), sentNanos));
             }
           });
     }
@@ -242,12 +246,12 @@
   }
 
   private void dispatch(QueuedItem<PendingRequest> item, long nowNanos) {
-    Optional<ReplicaController.ReplicaSnapshot> whole = controller.findFreshSnapshot(nowNanos);
-    if (whole.isEmpty()) {
-      refuse(item.value(), notWhole());
+    Optional<ReplicaController.ReplicaSnapshot> snapshot = controller.findFreshSnapshot(nowNanos);
+    if (snapshot.isEmpty()) {
+      refuse(item.value(), notReady());
       return;
     }
-    RunningRequest request = new RunningRequest(item, whole.get());
+    RunningRequest request = new RunningRequest(item, snapshot.get());
     running.put(item.value().submission().requestId(), request);
     send(request, item.value().submission(), nowNanos);
   }
@@ -265,7 +269,7 @@
             : engines.run(controller.generation(), loadName, submission, guard, listener));
   }
 
-  /** Passes pieces on and hands ends and failures to the owner's thread. */
+  /** Forwards chunks directly, and posts ends and failures to the owner's thread. */
   private final class StreamListener implements EngineStream.Listener {
     private final RunningRequest request;
 
@@ -281,16 +285,16 @@
     @Override
     public void onComplete(List<byte[]> held, long tokens) {
       request.recordEndMarker(held, tokens, System.nanoTime());
-      post(() -> certify());
+      post(() -> probeToConfirmEnd());
     }
 
     @Override
     public void onFailure(ShoreroadException failure, boolean isResumable) {
-      post(() -> takeFailure(request, failure, isResumable));
+      post(() -> handleFailure(request, failure, isResumable));
     }
 
     private void post(Runnable task) {
-      if (!duty.tryPost(task)) {
+      if (!ownerThread.tryPost(task)) {
         metrics.count("shoreroad.owner.ring.full");
         request.fail(
             ShoreroadException.of(
@@ -299,13 +303,17 @@
     }
   }
 
-  /** Asks all boxes anew, so that the end of an answer is passed on only by a whole replica. */
-  private void certify() {
+  /**
+   * Probes all boxes, now or after the minimum interval.
+   *
+   * <p>The end of an answer is forwarded only after the reports show an unchanged replica.
+   */
+  private void probeToConfirmEnd() {
     long now = System.nanoTime();
-    if (now - lastProbeNanos >= CERTIFY_GAP_NANOS) {
+    if (now - lastProbeNanos >= MIN_PROBE_INTERVAL_NANOS) {
       probeAll(now);
     } else {
-      nextProbeNanos = Math.min(nextProbeNanos, lastProbeNanos + CERTIFY_GAP_NANOS);
+      nextProbeNanos = Math.min(nextProbeNanos, lastProbeNanos + MIN_PROBE_INTERVAL_NANOS);
     }
   }
 
@@ -324,7 +332,7 @@
             ShoreroadException.of(
                 ErrorCode.REPLICA_LOST,
                 Verdict.MAY_HAVE_RUN,
-                "a box of the replica went missing",
+                "a box of the replica was lost",
                 NO_REPLICA_RETRY_MS));
       }
     }
@@ -338,14 +346,14 @@
     dispatchWaiting(nowNanos);
   }
 
-  private void takeFailure(
+  private void handleFailure(
       RunningRequest request, ShoreroadException failure, boolean isResumable) {
     long now = System.nanoTime();
     String id = request.submission().requestId();
     if (running.get(id) != request) {
       return;
     }
-    // The engine goes on after a broken connection; its stream is taken up where it broke.
+    // The engine keeps generating after a broken connection, so its stream can be resumed.
     if (isResumable
         && !controller.isBroken(request.snapshot(), now)
         && request.countResume() <= MAX_RESUMES) {
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -39,7 +39,7 @@
 import org.shoreroad.state.Node;
 
 /**
- * The owner's duty, on one thread: every generation that falls to this process.
+ * Service that runs the replica of every generation that this process owns, on one thread.
  *
  * <p>Thread-safe.
  *
@@ -51,7 +51,7 @@
   public static final String NAME = "owner";
 
   private static final Logger LOG = Logger.getLogger(OwnerService.class);
-  private static final long CERTIFYING_TICK_MS = 1;
+  private static final long CONFIRMING_TICK_MS = 1;
   private static final long BUSY_TICK_MS = 5;
   private static final long IDLE_TICK_MS = 40;
 
@@ -63,13 +63,13 @@
   private final EngineClient engines;
   private final PeerTransport transport;
   private final Metrics metrics;
-  private final Duty duty = new Duty(NAME, this::tick);
+  private final Duty ownerThread = new Duty(NAME, this::tick);
   private final Map<Long, OwnedReplica> replicas = new HashMap<>();
   private final String orderPrefix = UUID.randomUUID().toString().substring(0, 8) + "-";
   private final AtomicLong nextOrder = new AtomicLong();
   private volatile OwnerMap owners = OwnerMap.EMPTY;
   private volatile OwnerSnapshot snapshot = OwnerSnapshot.EMPTY;
-  private boolean isStale = true;
+  private boolean isAssignmentStale = true;
   private List<Node> derivedFromNodes = List.of();
   private Set<Long> derivedFromGenerations = Set.of();
   private volatile boolean isStopping;
@@ -106,48 +106,48 @@
 
   @Override
   public void start(Kernel kernel) {
-    control.addListener(state -> duty.tryPost(() -> isStale = true));
-    members.addListener(view -> duty.tryPost(() -> isStale = true));
+    control.addListener(state -> ownerThread.tryPost(() -> isAssignmentStale = true));
+    members.addListener(view -> ownerThread.tryPost(() -> isAssignmentStale = true));
     metrics.gauge("shoreroad.owner.replicas", () -> snapshot.replicas().size());
     metrics.gauge("shoreroad.owner.replicas.serving", () -> snapshot.serving());
     metrics.gauge("shoreroad.owner.requests.running", () -> snapshot.running());
     metrics.gauge("shoreroad.owner.requests.queued", () -> snapshot.queued());
     metrics.gauge("shoreroad.group.downtime.seconds", () -> downtimeSeconds);
     metrics.gauge("shoreroad.stranded.box.seconds", () -> strandedBoxSeconds);
-    duty.start();
+    ownerThread.start();
   }
 
   @Override
   public void stop() {
-    duty.stop();
+    ownerThread.stop();
   }
 
-  /** Returns which process owns which generation, as this process believes. */
+  /** Returns the owner of each generation, derived from this process's view of the members. */
   public OwnerMap owners() {
     return owners;
   }
 
-  /** Returns what this process owns. */
+  /** Returns a snapshot of the generations that this process owns. */
   public OwnerSnapshot snapshot() {
     return snapshot;
   }
 
-  /** Ends the intake of new requests; what runs is finished. */
+  /** Refuses new and queued requests from now on; running requests are finished. */
   public void closeIntake() {
     isStopping = true;
-    duty.tryPost(() -> replicas.values().forEach(OwnedReplica::closeIntake));
+    ownerThread.tryPost(() -> replicas.values().forEach(OwnedReplica::closeIntake));
   }
 
   /**
-   * Takes in a request from a gateway.
+   * Submits a request from a gateway.
    *
-   * @param gatewayId the gateway's process
+   * @param gatewayId the id of the gateway's process
    * @param submission the request
-   * @param sink where the answer goes
+   * @param sink receives the answer
    */
   public void submit(String gatewayId, Submission submission, AnswerSink sink) {
     boolean isPosted =
-        duty.tryPost(
+        ownerThread.tryPost(
             () -> {
               long now = System.nanoTime();
               OwnedReplica replica = replicas.get(submission.generation());
@@ -168,9 +168,9 @@
     }
   }
 
-  /** Gives up a request that nobody waits for. */
+  /** Cancels a request whose caller has disconnected. */
   public void cancel(String requestId) {
-    duty.tryPost(() -> replicas.values().forEach(replica -> replica.cancel(requestId)));
+    ownerThread.tryPost(() -> replicas.values().forEach(replica -> replica.cancel(requestId)));
   }
 
   @Override
@@ -185,14 +185,14 @@
 
   @Override
   public void onLinkLost(String nodeId) {
-    duty.tryPost(() -> replicas.values().forEach(replica -> replica.dropGateway(nodeId)));
+    ownerThread.tryPost(() -> replicas.values().forEach(replica -> replica.dropGateway(nodeId)));
   }
 
   private long tick(long nowNanos) {
     ClusterState state = control.state();
-    if (isStale) {
-      isStale = false;
-      assign(state, nowNanos);
+    if (isAssignmentStale) {
+      isAssignmentStale = false;
+      updateAssignment(state, nowNanos);
     }
     boolean mayOrder = contact.mayOrder(nowNanos);
     for (OwnedReplica replica : replicas.values()) {
@@ -210,7 +210,7 @@
                     && (state.generation(entry.getKey()).isEmpty() || !isOwned(entry.getKey())));
     publish(state, nowNanos);
     if (replicas.values().stream().anyMatch(OwnedReplica::isConfirmingEnd)) {
-      return CERTIFYING_TICK_MS;
+      return CONFIRMING_TICK_MS;
     }
     return snapshot.running() + snapshot.queued() > 0 ? BUSY_TICK_MS : IDLE_TICK_MS;
   }
@@ -219,14 +219,15 @@
     return owners.owner(generation).filter(n -> n.id().equals(settings.nodeId())).isPresent();
   }
 
-  private void assign(ClusterState state, long nowNanos) {
+  private void updateAssignment(ClusterState state, long nowNanos) {
     deriveOwners(state);
     Set<Long> owned = new HashSet<>(owners.ownedBy(settings.nodeId()));
     for (long number : owned) {
       Generation generation = state.generations().get(number);
       if (generation != null && !replicas.containsKey(number)) {
         replicas.put(number, newReplica(generation, nowNanos));
-        LOG.infof("SR-0301 owns generation %d of %s", number, generation.model());
+        LOG.infof(
+            "SR-0301 this process now owns generation %d of model %s", number, generation.model());
       }
     }
     replicas.forEach(
@@ -248,7 +249,7 @@
         });
   }
 
-  /** Derives the owners anew only if a generation or a working process came or went. */
+  /** Derives the owners again if the set of generations or of working processes has changed. */
   private void deriveOwners(ClusterState state) {
     List<Node> working = members.view().workingNodes();
     Set<Long> numbers = state.generations().keySet();
@@ -271,7 +272,7 @@
         engines,
         contact,
         metrics,
-        duty,
+        ownerThread,
         TimeUnit.MILLISECONDS.toNanos(settings.probeMs()),
         nowNanos);
   }
@@ -285,7 +286,9 @@
     } else if (action instanceof ReplicaAction.OrderUnload unload) {
       engines.orderUnload(generation, unload.box(), unload.loadName());
     } else if (action instanceof ReplicaAction.ProposeDissolve dissolve) {
-      LOG.infof("SR-0302 generation %d: %s", generation.number(), dissolve.reason());
+      LOG.infof(
+          "SR-0302 proposing to dissolve generation %d: %s",
+          generation.number(), dissolve.reason());
       appender.append(
           new LogRecord.ReplicaDissolved(appender.newId(), generation.number(), dissolve.reason()));
     } else if (action instanceof ReplicaAction.ProposeRelease release) {
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerSnapshot.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerSnapshot.java
@@ -5,18 +5,18 @@
 import org.shoreroad.state.Generation;
 
 /**
- * What a process owned at one moment, for operators and metrics.
+ * Snapshot of the generations that a process owns, for operators and metrics.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param replicas each owned generation
- * @param serving how many of them serve
- * @param running how many requests run
- * @param queued how many requests wait
+ * @param replicas the owned generations
+ * @param serving the number of them that are serving
+ * @param running the number of running requests
+ * @param queued the number of queued requests
  * @since 0.1
  */
 public record OwnerSnapshot(List<ReplicaView> replicas, int serving, int running, int queued) {
-  /** Nothing is owned. */
+  /** The snapshot of a process that owns nothing. */
   public static final OwnerSnapshot EMPTY = new OwnerSnapshot(List.of(), 0, 0, 0);
 
   /** Copies the list. */
@@ -28,10 +28,10 @@
    * One owned generation.
    *
    * @param generation the generation
-   * @param isServing whether it is whole and standing
-   * @param running how many requests run
-   * @param queued how many requests wait
-   * @param boxes what was last seen of each box, by name
+   * @param isServing whether it is standing and all of its boxes are ready
+   * @param running the number of running requests
+   * @param queued the number of queued requests
+   * @param boxes the last probe result of each box, {@code answers} or {@code silent}, by name
    */
   public record ReplicaView(
       Generation generation,
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/PeerAnswerSink.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/PeerAnswerSink.java
@@ -7,11 +7,11 @@
 import org.shoreroad.state.Node;
 
 /**
- * Sends an answer to the gateway at another process. Thread-safe.
+ * Sink that sends an answer to the gateway in another process. Thread-safe.
  *
- * @param link the links
+ * @param link sends messages to other processes
  * @param gateway the gateway's process
- * @param requestId the request
+ * @param requestId the request's id
  */
 record PeerAnswerSink(PeerLink link, Node gateway, String requestId) implements AnswerSink {
   private static final Runnable IGNORE = () -> {};
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
@@ -11,17 +11,17 @@
 import org.shoreroad.replica.ReplicaController;
 
 /**
- * A request that was sent to an engine: pieces go on to the sink until one end or failure.
+ * A request that was sent to an engine; forwards its chunks to the sink until one end or failure.
  *
- * <p>Pieces come on the engine client's threads, ends and failures on the owner's; the lock keeps
- * anything from following the end. Thread-safe.
+ * <p>Chunks arrive on the engine client's threads, ends and failures on the owner's thread. The
+ * lock ensures that nothing is forwarded after the end. Thread-safe.
  */
 final class RunningRequest {
   private final QueuedItem<PendingRequest> item;
   private final ReplicaController.ReplicaSnapshot snapshot;
   private final List<byte[]> held = new ArrayList<>();
   private long nextSequence;
-  private boolean isOver;
+  private boolean isFinished;
   private boolean isEnding;
   private long endedNanos;
   private int resumes;
@@ -42,7 +42,7 @@
     return item.value().submission();
   }
 
-  /** Returns what the boxes showed when the request was sent. */
+  /** Returns the state that the boxes had reported when the request was sent. */
   ReplicaController.ReplicaSnapshot snapshot() {
     return snapshot;
   }
@@ -53,18 +53,18 @@
 
   synchronized void setCall(Call next) {
     call = next;
-    if (isOver) {
+    if (isFinished) {
       next.cancel();
     }
   }
 
   synchronized void forwardChunk(byte[] bytes) {
-    if (!isOver) {
+    if (!isFinished) {
       sink().onChunk(nextSequence++, bytes);
     }
   }
 
-  /** Notes the engine's end marker; the end is told only once the replica is known to be whole. */
+  /** Records the engine's end marker; {@link #end} forwards it after the replica was checked. */
   synchronized void recordEndMarker(List<byte[]> last, long tokenCount, long nowNanos) {
     held.addAll(last);
     tokens = tokenCount;
@@ -88,22 +88,22 @@
     return nextSequence;
   }
 
-  /** Counts one more resume and returns how many there were. */
+  /** Counts one more resume and returns the number of resumes. */
   synchronized int countResume() {
     return ++resumes;
   }
 
   synchronized void end() {
-    if (!isOver) {
-      isOver = true;
+    if (!isFinished) {
+      isFinished = true;
       held.forEach(bytes -> sink().onChunk(nextSequence++, bytes));
       sink().onEnd();
     }
   }
 
   synchronized void fail(ShoreroadException failure) {
-    if (!isOver) {
-      isOver = true;
+    if (!isFinished) {
+      isFinished = true;
       if (call != null) {
         call.cancel();
       }
@@ -111,9 +111,9 @@
     }
   }
 
-  /** Ends it without telling anybody, since nobody waits. */
+  /** Cancels the request without notifying the sink, since no caller waits. */
   synchronized void abandon() {
-    isOver = true;
+    isFinished = true;
     if (call != null) {
       call.cancel();
     }
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/package-info.java
@@ -1,4 +1,4 @@
-/** The owner's duty: probes, orders, the queue and the running requests of each owned replica. */
+/** Probes, orders, the request queue and the running requests of each owned replica. */
 @NullMarked
 package org.shoreroad.daemon.owner;
 
--- a/daemon/src/test/java/org/shoreroad/daemon/owner/EngineStreamTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/owner/EngineStreamTest.java
@@ -22,7 +22,8 @@
 import org.shoreroad.daemon.request.Submission;
 
 /**
- * What an engine sends is taken for whole only if it is, and "not run" only if the engine says so.
+ * Guards against reporting a truncated answer as complete, and against the verdict "not run" for a
+ * request that the engine may have run.
  */
 class EngineStreamTest {
   private static final Request REQUEST = new Request.Builder().url("http://h/").build();
@@ -32,8 +33,8 @@
   private static final String LAST =
       "data: {\"model\":\"m~1~x\",\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n";
 
-  /** Remembers what it was told. */
-  private static final class Told implements EngineStream.Listener {
+  /** Records the events that it receives. */
+  private static final class RecordingListener implements EngineStream.Listener {
     private final List<String> chunks = new ArrayList<>();
     private final List<String> held = new ArrayList<>();
     private boolean isComplete;
@@ -58,8 +59,9 @@
     }
   }
 
-  private static Told take(int status, String body, boolean isStreaming, String id, boolean left) {
-    Told told = new Told();
+  private static RecordingListener receive(
+      int status, String body, boolean isStreaming, String id, boolean isSent) {
+    RecordingListener listener = new RecordingListener();
     Response response =
         new Response.Builder()
             .request(REQUEST)
@@ -69,73 +71,76 @@
             .header("X-Request-Id", id)
             .body(ResponseBody.create(body, MediaType.get("text/plain")))
             .build();
-    stream(told, isStreaming, left).onResponse(CALL, response);
-    return told;
+    stream(listener, isStreaming, isSent).onResponse(CALL, response);
+    return listener;
   }
 
-  private static EngineStream stream(Told told, boolean isStreaming, boolean hasLeft) {
+  private static EngineStream stream(
+      RecordingListener listener, boolean isStreaming, boolean isSent) {
     Submission submission =
         new Submission("r-1", 1, "a", 1, 0, 1, 1, 1, isStreaming, -1, new byte[0]);
     DispatchGuard guard = DispatchGuard.of(100);
-    if (hasLeft) {
+    if (isSent) {
       guard.tryMarkSent(0);
     }
-    return new EngineStream("m", "m~1~x", submission, guard, new ObjectMapper(), told);
+    return new EngineStream("m", "m~1~x", submission, guard, new ObjectMapper(), listener);
   }
 
   @Test
-  void testOnResponse_wholeStreamHoldsItsEndBack() {
-    Told told = take(200, TOKEN + TOKEN + LAST + "data: [DONE]\n\n", true, "r-1", true);
-    assertThat(told.isComplete, is(true));
-    assertThat(told.chunks.size(), is(2));
-    assertThat(told.held.size(), is(1));
-    assertThat(told.chunks.get(0), containsString("\"model\":\"m\""));
+  void testOnResponse_completeStreamHoldsBackFinishEvent() {
+    RecordingListener listener =
+        receive(200, TOKEN + TOKEN + LAST + "data: [DONE]\n\n", true, "r-1", true);
+    assertThat(listener.isComplete, is(true));
+    assertThat(listener.chunks.size(), is(2));
+    assertThat(listener.held.size(), is(1));
+    assertThat(listener.chunks.get(0), containsString("\"model\":\"m\""));
   }
 
   @Test
   void testOnResponse_streamWithoutEndMarkerIsAFailure() {
-    Told told = take(200, TOKEN + LAST, true, "r-1", true);
-    assertThat(told.isComplete, is(false));
-    assertThat(told.failure.verdict(), is(Verdict.MAY_HAVE_RUN));
-    assertThat(told.isResumable, is(true));
+    RecordingListener listener = receive(200, TOKEN + LAST, true, "r-1", true);
+    assertThat(listener.isComplete, is(false));
+    assertThat(listener.failure.verdict(), is(Verdict.MAY_HAVE_RUN));
+    assertThat(listener.isResumable, is(true));
   }
 
   @Test
-  void testOnResponse_anotherRequestsAnswerIsAFailure() {
-    Told told = take(200, TOKEN + "data: [DONE]\n\n", true, "r-2", true);
-    assertThat(told.chunks.size(), is(0));
-    assertThat(told.failure.verdict(), is(Verdict.MAY_HAVE_RUN));
+  void testOnResponse_answerToAnotherRequestIsAFailure() {
+    RecordingListener listener = receive(200, TOKEN + "data: [DONE]\n\n", true, "r-2", true);
+    assertThat(listener.chunks.size(), is(0));
+    assertThat(listener.failure.verdict(), is(Verdict.MAY_HAVE_RUN));
   }
 
   @Test
-  void testOnResponse_plainAnswerWithoutFinishReasonIsAFailure() {
-    Told told = take(200, "{\"choices\":[{}]}", false, "r-1", true);
-    assertThat(told.isComplete, is(false));
-    assertThat(told.failure.verdict(), is(Verdict.MAY_HAVE_RUN));
+  void testOnResponse_unstreamedAnswerWithoutFinishReasonIsAFailure() {
+    RecordingListener listener = receive(200, "{\"choices\":[{}]}", false, "r-1", true);
+    assertThat(listener.isComplete, is(false));
+    assertThat(listener.failure.verdict(), is(Verdict.MAY_HAVE_RUN));
   }
 
   @Test
   void testOnResponse_onlyExplicitRefusalsAreNotRun() {
     for (int status : new int[] {404, 409, 429, 503}) {
-      assertThat(take(status, "", true, "r-1", true).failure.verdict(), is(Verdict.NOT_RUN));
+      assertThat(receive(status, "", true, "r-1", true).failure.verdict(), is(Verdict.NOT_RUN));
     }
     for (int status : new int[] {400, 500, 502, 504}) {
-      assertThat(take(status, "", true, "r-1", true).failure.verdict(), is(Verdict.MAY_HAVE_RUN));
+      assertThat(
+          receive(status, "", true, "r-1", true).failure.verdict(), is(Verdict.MAY_HAVE_RUN));
     }
   }
 
   @Test
-  void testOnFailure_notRunOnlyIfNoByteLeft() {
-    Told before = new Told();
+  void testOnFailure_notRunOnlyIfNoByteWasSent() {
+    RecordingListener before = new RecordingListener();
     stream(before, true, false).onFailure(CALL, new IOException());
     assertThat(before.failure.verdict(), is(Verdict.NOT_RUN));
-    Told after = new Told();
+    RecordingListener after = new RecordingListener();
     stream(after, true, true).onFailure(CALL, new IOException());
     assertThat(after.failure.verdict(), is(Verdict.MAY_HAVE_RUN));
   }
 
   @Test
-  void testTryPass_expiredEvidenceLetsNothingLeave() {
+  void testTryMarkSent_expiredEvidencePreventsSending() {
     DispatchGuard guard = DispatchGuard.of(100);
     assertThat(guard.tryMarkSent(100), is(false));
     assertThat(guard.mayHaveBeenSent(), is(false));
