--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/Admission.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/Admission.java
@@ -8,39 +8,40 @@
 import org.shoreroad.ShoreroadException;
 import org.shoreroad.config.AccountSpec;
 
-/** Counts the open requests of each client account at this gateway. Thread-safe. */
+/** Limits the open requests of each client account at this gateway. Thread-safe. */
 final class Admission {
   private static final long RETRY_AFTER_MS = 1_000;
 
   private final Map<String, AtomicInteger> openByAccount = new ConcurrentHashMap<>();
   private final AtomicInteger open = new AtomicInteger();
 
-  /** Returns how many requests are open. */
+  /** Returns the number of open requests of all accounts. */
   int openCount() {
     return open.get();
   }
 
   /**
-   * Counts a request in.
+   * Counts a new open request.
    *
    * @param account the client account
-   * @return what counts it out; only its first call does
-   * @throws ShoreroadException if the account has as many open as it may have
+   * @return releases the request; only its first call has an effect
+   * @throws ShoreroadException if the account has reached its limit of open requests
    */
   Runnable acquire(AccountSpec account) {
-    AtomicInteger own = openByAccount.computeIfAbsent(account.name(), n -> new AtomicInteger());
-    if (own.incrementAndGet() > account.maxOpen()) {
-      own.decrementAndGet();
+    AtomicInteger accountOpen =
+        openByAccount.computeIfAbsent(account.name(), n -> new AtomicInteger());
+    if (accountOpen.incrementAndGet() > account.maxOpen()) {
+      accountOpen.decrementAndGet();
       throw ShoreroadException.notRun(
           ErrorCode.ACCOUNT_LIMIT,
-          account.name() + " has " + account.maxOpen() + " requests open",
+          account.name() + " has " + account.maxOpen() + " open requests, which is its limit",
           RETRY_AFTER_MS);
     }
     open.incrementAndGet();
-    AtomicBoolean isOut = new AtomicBoolean();
+    AtomicBoolean isReleased = new AtomicBoolean();
     return () -> {
-      if (isOut.compareAndSet(false, true)) {
-        own.decrementAndGet();
+      if (isReleased.compareAndSet(false, true)) {
+        accountOpen.decrementAndGet();
         open.decrementAndGet();
       }
     };
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/Caller.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/Caller.java
@@ -13,13 +13,13 @@
 import org.shoreroad.intent.RequestKey;
 
 /**
- * Who calls, and as what: the client account, the request kind and the key, checked.
+ * The client account, the request kind and the idempotency key of a request that passed the checks.
  *
  * <p>This class is immutable and thread-safe.
  *
  * @param account the client account
  * @param kind the request kind
- * @param key the key of a request that may not be repeated, else null
+ * @param key the idempotency key of a request that may not be repeated, else null
  */
 record Caller(AccountSpec account, KindSpec kind, @Nullable RequestKey key) {
   private static final String BEARER = "Bearer ";
@@ -31,11 +31,11 @@
    *
    * @param exchange the request
    * @param configuration the applied configuration
-   * @param target what the request is for: {@code model/NAME} or {@code service/NAME}
+   * @param target the target of the request: {@code model/NAME} or {@code service/NAME}
    * @param nowMs the time in milliseconds since 1970
-   * @param windowMs how old a key may be
+   * @param windowMs the maximum age of a key in milliseconds
    * @return the caller
-   * @throws ShoreroadException if a header is missing or wrong, or no route allows the request
+   * @throws ShoreroadException if a header is missing or invalid, or no route allows the request
    */
   static Caller check(
       HttpServerExchange exchange,
@@ -52,29 +52,33 @@
                 () ->
                     ShoreroadException.notRun(
                         ErrorCode.UNKNOWN_KIND,
-                        KIND_HEADER + " is '" + kindName + "', which is no declared kind"));
+                        KIND_HEADER + " is '" + kindName + "', which is not a declared kind"));
     if (!configuration.isRouted(account.name(), kind.name(), target)) {
       throw ShoreroadException.notRun(
           ErrorCode.NOT_ROUTED,
-          "no route lets " + account.name() + " send " + kind.name() + " to " + target);
+          "no route allows " + account.name() + " to send " + kind.name() + " to " + target);
     }
     return new Caller(account, kind, findKey(exchange, account, kind, nowMs, windowMs));
   }
 
-  /** Returns the account whose key the request carries. */
+  /**
+   * Returns the client account that the API key of the request belongs to.
+   *
+   * @throws ShoreroadException if the request has no key of a declared account
+   */
   static AccountSpec findAccount(HttpServerExchange exchange, Configuration configuration) {
     String header = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
     if (header != null && header.startsWith(BEARER)) {
       byte[] digest = sha256(header.substring(BEARER.length()));
       for (AccountSpec account : configuration.all(AccountSpec.class)) {
-        byte[] wanted = java.util.HexFormat.of().parseHex(account.keySha256());
-        if (MessageDigest.isEqual(digest, wanted)) {
+        byte[] expected = java.util.HexFormat.of().parseHex(account.keySha256());
+        if (MessageDigest.isEqual(digest, expected)) {
           return account;
         }
       }
     }
     throw ShoreroadException.notRun(
-        ErrorCode.UNKNOWN_ACCOUNT, "Authorization carries no key of a declared account");
+        ErrorCode.UNKNOWN_ACCOUNT, "the Authorization header has no key of a declared account");
   }
 
   private static byte[] sha256(String text) {
@@ -104,7 +108,7 @@
     if (key.findMiss(nowMs, windowMs).isPresent()) {
       throw ShoreroadException.notRun(
           ErrorCode.IDEMPOTENCY_KEY_REQUIRED,
-          KEY_HEADER + " was not made within the last " + windowMs + " ms");
+          KEY_HEADER + " was not created within the last " + windowMs + " ms");
     }
     return key;
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/CallerAnswer.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/CallerAnswer.java
@@ -17,12 +17,12 @@
 import org.xnio.IoUtils;
 
 /**
- * Writes an answer to a caller.
+ * Writer of an answer to a caller.
  *
- * <p>Everything that touches the connection happens on its own I/O thread, one write at a time.
- * What waits for a slow caller is bounded. An answer that breaks off in the middle ends with an
- * error event and a connection that is cut without the final chunk, so that no client can take it
- * for whole. Thread-safe.
+ * <p>The connection is accessed only on its I/O thread, with one write at a time. The bytes that
+ * wait for a slow caller are limited. If an answer fails after its start, an error event is sent
+ * and the connection is closed without the final HTTP chunk, so that no client can mistake the
+ * answer for a complete one. Thread-safe.
  */
 final class CallerAnswer {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -34,59 +34,59 @@
   private final HttpServerExchange exchange;
   private final String requestId;
   private final long maxUnsentBytes;
-  private final Runnable onGone;
+  private final Runnable onDisconnect;
   private final ByteArrayOutputStream unsent = new ByteArrayOutputStream();
   private boolean isStarted;
   private boolean isWriting;
   private boolean isFinishing;
-  private boolean isCutting;
-  private boolean isOver;
+  private boolean isAborting;
+  private boolean isFinished;
 
   /**
-   * Creates the answer to an exchange that was dispatched.
+   * Creates the writer for an exchange that was dispatched.
    *
    * @param exchange the exchange
    * @param requestId the request's id
-   * @param maxUnsentBytes how much may wait for a slow caller
-   * @param onGone called once if the caller has gone or is too slow
+   * @param maxUnsentBytes the maximum number of bytes that wait for a slow caller
+   * @param onDisconnect called once if the caller has disconnected or is too slow
    */
   CallerAnswer(
-      HttpServerExchange exchange, String requestId, long maxUnsentBytes, Runnable onGone) {
+      HttpServerExchange exchange, String requestId, long maxUnsentBytes, Runnable onDisconnect) {
     this.exchange = exchange;
     this.requestId = requestId;
     this.maxUnsentBytes = maxUnsentBytes;
-    this.onGone = onGone;
+    this.onDisconnect = onDisconnect;
   }
 
-  /** Sends a piece of a stream of events. */
+  /** Sends a part of an event stream. */
   void sendEvent(byte[] bytes) {
     onIoThread(
         () -> {
           unsent.writeBytes(bytes);
           if (unsent.size() > maxUnsentBytes) {
-            giveUp();
+            disconnect();
           } else {
-            pump();
+            writeUnsent();
           }
         });
   }
 
-  /** Ends a stream of events as whole. */
+  /** Ends an event stream with its end marker, as complete. */
   void endEvents() {
     onIoThread(
         () -> {
           unsent.writeBytes(DONE);
           isFinishing = true;
-          pump();
+          writeUnsent();
         });
   }
 
-  /** Sends a whole answer at once. */
-  void sendWhole(int status, String contentType, byte[] bytes) {
+  /** Sends a complete answer that isn't streamed. */
+  void sendComplete(int status, String contentType, byte[] bytes) {
     onIoThread(
         () -> {
           isStarted = true;
-          isOver = true;
+          isFinished = true;
           exchange.setStatusCode(status);
           exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, contentType);
           exchange.getResponseHeaders().put(REQUEST_ID, requestId);
@@ -94,25 +94,25 @@
         });
   }
 
-  /** Ends the answer with an error, as a response of its own or in the middle of the events. */
+  /** Ends the answer with an error response, or with an error event if the stream has started. */
   void fail(ShoreroadException failure) {
     onIoThread(
         () -> {
           byte[] body = errorBody(failure, requestId);
           if (!isStarted) {
-            isOver = true;
+            isFinished = true;
             sendError(exchange, failure, requestId);
           } else {
             unsent.writeBytes("data: ".getBytes(StandardCharsets.UTF_8));
             unsent.writeBytes(body);
             unsent.writeBytes("\n\n".getBytes(StandardCharsets.UTF_8));
-            isCutting = true;
-            pump();
+            isAborting = true;
+            writeUnsent();
           }
         });
   }
 
-  /** Sends an error as a whole response; on the I/O thread of an exchange that has none yet. */
+  /** Sends an error response; only on the I/O thread and before any other response. */
   static void sendError(HttpServerExchange exchange, ShoreroadException failure, String requestId) {
     exchange.setStatusCode(failure.code().httpStatus());
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
@@ -144,22 +144,22 @@
           .getIoThread()
           .execute(
               () -> {
-                if (!isOver) {
+                if (!isFinished) {
                   task.run();
                 }
               });
     } catch (RejectedExecutionException e) {
-      // The server is stopping at once: its connections are cut, and nobody can be told.
+      // The server is stopping and closes its connections, so no error can be sent.
       IoUtils.safeClose(exchange.getConnection());
     }
   }
 
-  private void pump() {
-    if (isWriting || isOver) {
+  private void writeUnsent() {
+    if (isWriting || isFinished) {
       return;
     }
     if (unsent.size() == 0) {
-      finishIfDue();
+      finishIfRequested();
       return;
     }
     if (!isStarted) {
@@ -181,32 +181,32 @@
                 onIoThread(
                     () -> {
                       isWriting = false;
-                      pump();
+                      writeUnsent();
                     });
               }
 
               @Override
               public void onException(HttpServerExchange done, Sender sender, IOException e) {
-                onIoThread(CallerAnswer.this::giveUp);
+                onIoThread(CallerAnswer.this::disconnect);
               }
             });
   }
 
-  private void finishIfDue() {
-    if (isCutting) {
-      isOver = true;
+  private void finishIfRequested() {
+    if (isAborting) {
+      isFinished = true;
       IoUtils.safeClose(exchange.getConnection());
     } else if (isFinishing) {
-      isOver = true;
+      isFinished = true;
       exchange.getResponseSender().close(IoCallback.END_EXCHANGE);
     }
   }
 
-  private void giveUp() {
-    if (!isOver) {
-      isOver = true;
+  private void disconnect() {
+    if (!isFinished) {
+      isFinished = true;
       IoUtils.safeClose(exchange.getConnection());
-      onGone.run();
+      onDisconnect.run();
     }
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatExchange.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatExchange.java
@@ -17,15 +17,16 @@
 import org.shoreroad.state.Node;
 
 /**
- * One chat request at the gateway: where it is sent, what is tried again, how it ends.
+ * One chat request at the gateway: the choice of a generation, the retries and the answer.
  *
  * <p>This is the only layer that retries. A request is sent again if it is known not to have run,
- * or if its kind may be repeated and the caller has seen nothing of the answer yet; both out of the
- * client account's budget. A stream that broke with its owner is taken up at the next owner where
- * it broke. Thread-safe.
+ * or if its kind may be repeated and no part of the answer was sent to the caller yet; both count
+ * against the client account's retry budget. If the owner of a stream is lost, the stream is
+ * resumed at the next owner after the last received event. Thread-safe.
  */
 final class ChatExchange implements AnswerSink {
-  private static final Set<ErrorCode> ELSEWHERE =
+  /** Failures of one attempt after which another replica may accept the request. */
+  private static final Set<ErrorCode> RETRYABLE_ELSEWHERE =
       Set.of(
           ErrorCode.NO_REPLICA,
           ErrorCode.NOT_OWNER,
@@ -35,82 +36,85 @@
           ErrorCode.QUEUE_FULL,
           ErrorCode.UPSTREAM_REFUSED,
           ErrorCode.UPSTREAM_UNREACHABLE);
-  private static final Set<ErrorCode> BROKEN =
+
+  /** Failures of an attempt after it was sent to an owner or its replica. */
+  private static final Set<ErrorCode> FAILED_AFTER_SENDING =
       Set.of(ErrorCode.OWNER_LOST, ErrorCode.UPSTREAM_FAILED, ErrorCode.REPLICA_LOST);
+
   private static final int MAX_ATTEMPTS = 4;
-  private static final long RESUME_STEP_MS = 50;
-  private static final long RESUME_LIMIT_MS = 5_000;
+  private static final long RESUME_RETRY_INTERVAL_MS = 50;
+  private static final long RESUME_TIMEOUT_MS = 5_000;
   private static final long NO_REPLICA_RETRY_MS = 2_000;
 
-  private final GatewayContext parts;
+  private final GatewayContext context;
   private final ChatRequest request;
   private final CallerAnswer answer;
   private final IntentClient.@Nullable Claim claim;
-  private final Runnable onOver;
-  private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+  private final Runnable onFinished;
+  private final ByteArrayOutputStream answerBody = new ByteArrayOutputStream();
   private int attempts;
   private long received;
   private long firstChunkNanos;
   private long sentNanos;
   private @Nullable Node sentTo;
   private long generation;
-  private boolean isOver;
+  private boolean isFinished;
   private boolean mayHaveRun;
   private String lostOwnerId = "";
   private long resumeUntilNanos;
 
   ChatExchange(
-      GatewayContext parts,
+      GatewayContext context,
       ChatRequest request,
       CallerAnswer answer,
       IntentClient.@Nullable Claim claim,
-      Runnable onOver) {
-    this.parts = parts;
+      Runnable onFinished) {
+    this.context = context;
     this.request = request;
     this.answer = answer;
     this.claim = claim;
-    this.onOver = onOver;
+    this.onFinished = onFinished;
   }
 
-  /** Sends the request for the first time. */
+  /** Makes the first attempt. */
   synchronized void start() {
-    parts.upstreams().budget(account(), request.chat().model()).recordAttempt();
+    context.upstreams().budget(account(), request.chat().model()).recordAttempt();
     send();
   }
 
-  /** Gives the request up, since the caller has gone. */
+  /** Cancels the request, since the caller has disconnected. */
   void abandon() {
     Node to;
     synchronized (this) {
-      if (isOver) {
+      if (isFinished) {
         return;
       }
-      isOver = true;
+      isFinished = true;
       to = sentTo;
-      parts.upstreams().cancel(upstream(), System.nanoTime());
+      context.upstreams().cancel(upstream(), System.nanoTime());
     }
     cancelAtOwner(to);
-    parts.metrics().countRefusal(ErrorCode.CALLER_GONE, Verdict.MAY_HAVE_RUN);
-    parts.trace().add(request.requestId(), "the caller has gone");
-    onOver.run();
+    context.metrics().countRefusal(ErrorCode.CALLER_GONE, Verdict.MAY_HAVE_RUN);
+    context.trace().add(request.requestId(), "the caller has disconnected");
+    onFinished.run();
   }
 
   private void cancelAtOwner(@Nullable Node owner) {
     if (owner != null) {
-      parts.link().cancel(owner, submission().requestId());
+      context.link().cancel(owner, submission().requestId());
     }
   }
 
   @Override
   public synchronized void onChunk(long sequence, byte[] bytes) {
-    if (isOver || sequence < received) {
+    if (isFinished || sequence < received) {
       return;
     }
     if (sequence > received) {
       cancelAtOwner(sentTo);
       finishFailed(
           ShoreroadException.of(
-              ErrorCode.INTERNAL, Verdict.MAY_HAVE_RUN, "a piece of the answer is missing", 0));
+              ErrorCode.INTERNAL, Verdict.MAY_HAVE_RUN, "a chunk of the answer is missing", 0));
       return;
     }
     if (received == 0) {
@@ -120,59 +124,61 @@
     if (request.chat().isStreaming()) {
       answer.sendEvent(bytes);
     } else {
-      whole.writeBytes(bytes);
+      answerBody.writeBytes(bytes);
     }
   }
 
   @Override
   public synchronized void onEnd() {
-    if (isOver) {
+    if (isFinished) {
       return;
     }
-    isOver = true;
+    isFinished = true;
     long now = System.nanoTime();
-    parts.upstreams().succeed(upstream(), firstChunkNanos - sentNanos, now);
+    context.upstreams().succeed(upstream(), firstChunkNanos - sentNanos, now);
     if (request.chat().isStreaming()) {
       answer.endEvents();
     } else {
-      answer.sendWhole(200, "application/json", whole.toByteArray());
+      answer.sendComplete(200, "application/json", answerBody.toByteArray());
     }
     String kind = request.caller().kind().name();
-    parts.metrics().record("shoreroad.gateway.first.token", kind, firstChunkNanos - arrived());
-    parts.metrics().record("shoreroad.gateway.request", kind, now - arrived());
-    parts
+    context
+        .metrics()
+        .record("shoreroad.gateway.first.token", kind, firstChunkNanos - arrivedNanos());
+    context.metrics().record("shoreroad.gateway.request", kind, now - arrivedNanos());
+    context
         .metrics()
         .add(
             "shoreroad.gateway.service.units",
             "account",
             account(),
             request.caller().kind().costWeight());
-    parts.trace().add(request.requestId(), "answered whole");
+    context.trace().add(request.requestId(), "answered completely");
     if (claim != null) {
-      parts.intents().finish(claim);
+      context.intents().finish(claim);
     }
-    onOver.run();
+    onFinished.run();
   }
 
   @Override
   public synchronized void onFailure(ShoreroadException failure) {
-    if (isOver) {
+    if (isFinished) {
       return;
     }
     long now = System.nanoTime();
     if (failure.code() == ErrorCode.QUEUE_FULL || failure.code() == ErrorCode.DEADLINE_PASSED) {
-      parts.upstreams().cancel(upstream(), now);
+      context.upstreams().cancel(upstream(), now);
     } else {
-      parts.upstreams().fail(upstream(), now);
+      context.upstreams().fail(upstream(), now);
     }
-    parts.trace().add(request.requestId(), failure.code() + " " + failure.verdict());
+    context.trace().add(request.requestId(), failure.code() + " " + failure.verdict());
     mayHaveRun |= failure.verdict() != Verdict.NOT_RUN;
     if (failure.code() == ErrorCode.OWNER_LOST && received > 0) {
       Node lost = sentTo;
       lostOwnerId = lost == null ? "" : lost.id();
-      resumeUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(RESUME_LIMIT_MS);
-      resumeElsewhere(failure);
-    } else if (isResuming() && ELSEWHERE.contains(failure.code())) {
+      resumeUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(RESUME_TIMEOUT_MS);
+      resumeAtNewOwner(failure);
+    } else if (isResuming() && RETRYABLE_ELSEWHERE.contains(failure.code())) {
       resumeLater(failure);
     } else if (isRepeatable(failure) && attempts < MAX_ATTEMPTS && isWithinDeadline(now)) {
       repeat(failure);
@@ -182,29 +188,31 @@
   }
 
   /**
-   * Returns true if the request may be run from its beginning again.
+   * Returns true if the request may be run again from its beginning.
    *
-   * <p>It is not the last failure's verdict that counts but that of all attempts: a resume that was
-   * refused as not run says nothing of the run it was to take up.
+   * <p>The verdicts of all attempts decide, not only that of the last failure: if a resume is
+   * refused with the verdict "not run", the run that it should have resumed may still have run.
    */
   private boolean isRepeatable(ShoreroadException failure) {
     if (received > 0) {
       return false;
     }
     if (!mayHaveRun) {
-      return ELSEWHERE.contains(failure.code());
+      return RETRYABLE_ELSEWHERE.contains(failure.code());
     }
-    boolean isWorthIt = BROKEN.contains(failure.code()) || ELSEWHERE.contains(failure.code());
-    return isWorthIt && request.caller().kind().isRepeatable();
+    boolean isTransient =
+        FAILED_AFTER_SENDING.contains(failure.code())
+            || RETRYABLE_ELSEWHERE.contains(failure.code());
+    return isTransient && request.caller().kind().isRepeatable();
   }
 
   private void repeat(ShoreroadException failure) {
-    if (!parts.upstreams().budget(account(), request.chat().model()).tryRetry()) {
-      parts.metrics().count("shoreroad.gateway.retry.budget.empty");
+    if (!context.upstreams().budget(account(), request.chat().model()).tryRetry()) {
+      context.metrics().count("shoreroad.gateway.retry.budget.empty");
       finishFailed(failure);
       return;
     }
-    parts.metrics().countRetry(failure.code().toString());
+    context.metrics().countRetry(failure.code().toString());
     send();
   }
 
@@ -212,11 +220,11 @@
     return !lostOwnerId.isEmpty();
   }
 
-  /** Waits, for a short bounded time, until the generation has another owner, and resumes there. */
-  private void resumeElsewhere(ShoreroadException failure) {
-    Optional<Node> owner = parts.owner().owners().owner(generation);
+  /** Resumes at the generation's new owner, or retries this until the resume time limit. */
+  private void resumeAtNewOwner(ShoreroadException failure) {
+    Optional<Node> owner = context.owner().owners().owner(generation);
     if (owner.isPresent() && !owner.get().id().equals(lostOwnerId)) {
-      parts.metrics().countRetry("owner_lost_resumed");
+      context.metrics().countRetry("owner_lost_resumed");
       sendTo(owner.get(), submission().withResumeAfter(received));
     } else {
       resumeLater(failure);
@@ -228,17 +236,17 @@
       finishFailed(failure);
       return;
     }
-    parts
+    context
         .timer()
         .schedule(
             () -> {
               synchronized (this) {
-                if (!isOver) {
-                  resumeElsewhere(failure);
+                if (!isFinished) {
+                  resumeAtNewOwner(failure);
                 }
               }
             },
-            RESUME_STEP_MS,
+            RESUME_RETRY_INTERVAL_MS,
             TimeUnit.MILLISECONDS);
   }
 
@@ -246,23 +254,24 @@
     attempts++;
     long now = System.nanoTime();
     List<String> candidates =
-        parts.control().state().standing(request.chat().model()).stream()
+        context.control().state().standing(request.chat().model()).stream()
             .map(Generation::number)
-            .filter(number -> parts.owner().owners().owner(number).isPresent())
+            .filter(number -> context.owner().owners().owner(number).isPresent())
             .map(String::valueOf)
             .toList();
-    Optional<String> chosen = parts.upstreams().choose(candidates, request.chat().prefixKey(), now);
+    Optional<String> chosen =
+        context.upstreams().choose(candidates, request.chat().prefixKey(), now);
     if (chosen.isEmpty()) {
       long jitterMs = ThreadLocalRandom.current().nextLong(NO_REPLICA_RETRY_MS);
       finishFailed(
           ShoreroadException.notRun(
               ErrorCode.NO_REPLICA,
-              "the model has no whole replica at present",
+              "the model has no ready replica at present",
               NO_REPLICA_RETRY_MS + jitterMs));
       return;
     }
     generation = Long.parseLong(chosen.get());
-    parts
+    context
         .owner()
         .owners()
         .owner(generation)
@@ -270,42 +279,44 @@
   }
 
   private static ShoreroadException ownerUnknown() {
-    return ShoreroadException.notRun(ErrorCode.NOT_OWNER, "the owner is not known", 1);
+    return ShoreroadException.notRun(ErrorCode.NOT_OWNER, "the owner of the replica is unknown", 1);
   }
 
   private void sendTo(Node to, Submission submission) {
     sentTo = to;
     sentNanos = System.nanoTime();
-    parts.upstreams().start(upstream(), sentNanos);
-    parts.trace().add(request.requestId(), "to generation " + generation + " at owner " + to.id());
-    parts.link().submit(to, submission, this);
+    context.upstreams().start(upstream(), sentNanos);
+    context
+        .trace()
+        .add(request.requestId(), "sent to generation " + generation + " at owner " + to.id());
+    context.link().submit(to, submission, this);
   }
 
   private Submission submission() {
-    long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - arrived());
+    long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - arrivedNanos());
     return request.toSubmission(
         attempts, generation, Math.max(1, request.caller().kind().deadlineMs() - waitedMs));
   }
 
   private boolean isWithinDeadline(long nowNanos) {
-    return nowNanos - arrived()
+    return nowNanos - arrivedNanos()
         < TimeUnit.MILLISECONDS.toNanos(request.caller().kind().deadlineMs());
   }
 
   private void finishFailed(ShoreroadException last) {
-    isOver = true;
-    ShoreroadException failure = withVerdictOfAll(last);
-    parts.metrics().countRefusal(failure.code(), failure.verdict());
-    parts.trace().add(request.requestId(), "answered " + failure.code());
+    isFinished = true;
+    ShoreroadException failure = withVerdictOfAllAttempts(last);
+    context.metrics().countRefusal(failure.code(), failure.verdict());
+    context.trace().add(request.requestId(), "answered " + failure.code());
     answer.fail(failure);
     if (claim != null && failure.verdict() == Verdict.NOT_RUN) {
-      parts.intents().withdraw(claim);
+      context.intents().withdraw(claim);
     }
-    onOver.run();
+    onFinished.run();
   }
 
-  /** An earlier attempt that may have run outweighs a last one that did not. */
-  private ShoreroadException withVerdictOfAll(ShoreroadException last) {
+  /** Returns the failure with the verdict "may have run" if any attempt may have run. */
+  private ShoreroadException withVerdictOfAllAttempts(ShoreroadException last) {
     return mayHaveRun && last.verdict() == Verdict.NOT_RUN
         ? ShoreroadException.of(
             last.code(),
@@ -323,7 +334,7 @@
     return Long.toString(generation);
   }
 
-  private long arrived() {
+  private long arrivedNanos() {
     return request.arrivedNanos();
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatRequest.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ChatRequest.java
@@ -8,11 +8,11 @@
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param requestId the request's id, unique for ever
- * @param caller who calls
- * @param chat what the body says
- * @param body the body
- * @param arrivedNanos when it arrived, on the monotonic clock
+ * @param requestId the request's id, never reused
+ * @param caller the checked account, kind and idempotency key
+ * @param chat the parsed fields of the body
+ * @param body the body as the caller sent it
+ * @param arrivedNanos the time of arrival, in nanoseconds of the monotonic clock
  */
 record ChatRequest(String requestId, Caller caller, ChatBody chat, byte[] body, long arrivedNanos) {
   /** Returns a new request id. */
@@ -23,10 +23,10 @@
   /**
    * Returns the submission of one attempt.
    *
-   * @param attempt the attempt's number; each has an id of its own, so that nothing late of one
-   *     attempt can come into the answer of the next
-   * @param generation the generation
-   * @param waitMs how long it may wait to be started
+   * @param attempt the attempt's number, which makes the submission's id unique, so that a late
+   *     message of one attempt can't be taken for part of the answer to the next
+   * @param generation the number of the generation
+   * @param waitMs the longest time in the owner's queue, in milliseconds
    */
   Submission toSubmission(int attempt, long generation, long waitMs) {
     return new Submission(
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ClaimGate.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ClaimGate.java
@@ -11,9 +11,9 @@
 import org.shoreroad.daemon.peer.ClaimResult;
 
 /**
- * Lets a request that may not be repeated pass only with a claim that was won in the log.
+ * Claims the idempotency keys of requests that may not be repeated, before they are started.
  *
- * <p>Thread-safe.
+ * <p>Such a request is started only after its claim was won in the log. Thread-safe.
  */
 final class ClaimGate {
   private static final long REPEAT_RETRY_MS = 1_000;
@@ -24,11 +24,11 @@
   private final BiConsumer<HttpServerExchange, ShoreroadException> refuse;
 
   /**
-   * Creates the gate.
+   * Creates the claim gate.
    *
-   * @param intents makes the claims
-   * @param trace notes what became of them
-   * @param refuse answers a request that does not pass, from any thread
+   * @param intents appends the claims to the log
+   * @param trace records the results of the claims
+   * @param refuse answers a request whose claim was not won, from any thread
    */
   ClaimGate(
       IntentClient intents,
@@ -40,13 +40,13 @@
   }
 
   /**
-   * Claims what may not be repeated.
+   * Claims the key of a request that may not be repeated; continues at once with any other.
    *
-   * @param caller who calls, with the key if one is needed
-   * @param requestId the request
-   * @param exchange where a refusal goes
-   * @param release called if the request does not pass
-   * @param next takes the claim, or null if none is needed
+   * @param caller the caller, with the key if the request may not be repeated
+   * @param requestId the request's id
+   * @param exchange the exchange that a refusal is sent to
+   * @param release called if the claim was not won
+   * @param next receives the claim, or null if none is needed
    */
   void claimIfRequired(
       Caller caller,
@@ -80,16 +80,18 @@
     return switch (result) {
       case LOST_FINISHED ->
           ShoreroadException.of(
-              ErrorCode.ALREADY_RAN, Verdict.RAN, "a request with this key ran to its end", 0);
+              ErrorCode.ALREADY_RAN, Verdict.RAN, "a request with this key has already run", 0);
       case LOST_STARTED ->
           ShoreroadException.of(
               ErrorCode.ALREADY_STARTED,
               Verdict.MAY_HAVE_RUN,
-              "a request with this key was started",
+              "a request with this key was already started",
               REPEAT_RETRY_MS);
       default ->
           ShoreroadException.notRun(
-              ErrorCode.LOG_UNAVAILABLE, "the log did not take the request's intent", LOG_RETRY_MS);
+              ErrorCode.LOG_UNAVAILABLE,
+              "the log did not accept the intent of the request",
+              LOG_RETRY_MS);
     };
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayContext.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayContext.java
@@ -8,17 +8,17 @@
 import org.shoreroad.daemon.settings.Settings;
 
 /**
- * What each request at the gateway works with.
+ * The components that each request at the gateway uses.
  *
  * @param control the applied state
- * @param owner who owns which generation
- * @param link the way to the owners
- * @param intents the claims
- * @param upstreams what is known of each generation and service address
- * @param trace what happened to each request
+ * @param owner the owner of each generation
+ * @param link sends requests to the owners
+ * @param intents claims the keys of requests that may not be repeated
+ * @param upstreams the statistics of each generation and service address, and the retry budgets
+ * @param trace the recorded steps of each request
  * @param metrics the counters
  * @param settings the settings
- * @param timer runs what is due later
+ * @param timer runs delayed tasks
  */
 record GatewayContext(
     ControlLog control,
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayService.java
@@ -34,8 +34,8 @@
 import org.xnio.Options;
 
 /**
- * The gateway's duty: takes callers' requests, checks them, claims what may not be repeated, and
- * hands them on.
+ * HTTP service for callers: checks requests, claims the keys of requests that may not be repeated,
+ * and forwards them to owners and services.
  *
  * <p>Thread-safe.
  *
@@ -51,7 +51,7 @@
   private static final String SERVICES_PATH = "/services/";
   private static final int CHECK_THREADS = 4;
   private static final int SERVICE_THREADS = 128;
-  private static final int MAX_WAITING = 4_096;
+  private static final int MAX_QUEUED = 4_096;
   private static final int MAX_HEADER_BYTES = 32 * 1024;
   private static final int MAX_HEADERS = 100;
   private static final int REQUEST_TIMEOUT_MS = 30_000;
@@ -61,7 +61,7 @@
   private final Settings settings;
   private final Contact contact;
   private final Metrics metrics;
-  private final GatewayContext parts;
+  private final GatewayContext context;
   private final ServiceClient services;
   private final ObjectMapper mapper = new ObjectMapper();
   private final Admission admission = new Admission();
@@ -87,11 +87,11 @@
     this.contact = contact;
     this.metrics = metrics;
     this.timer = new ScheduledThreadPoolExecutor(1, task -> daemonThread(task, "gateway-timer"));
-    this.parts =
+    this.context =
         new GatewayContext(
             control, owner, link, intents, new UpstreamRegistry(), trace, metrics, settings, timer);
-    this.services = new ServiceClient(parts);
-    this.claims = new ClaimGate(intents, trace, this::refuseLater);
+    this.services = new ServiceClient(context);
+    this.claims = new ClaimGate(intents, trace, this::refuseOnIoThread);
   }
 
   private static ThreadPoolExecutor newPool(String name, int threads) {
@@ -101,7 +101,7 @@
             threads,
             10,
             TimeUnit.SECONDS,
-            new LinkedBlockingQueue<>(MAX_WAITING),
+            new LinkedBlockingQueue<>(MAX_QUEUED),
             task -> daemonThread(task, name));
     pool.allowCoreThreadTimeOut(true);
     return pool;
@@ -153,7 +153,11 @@
     timer.shutdownNow();
   }
 
-  /** Returns where callers are served, once started. */
+  /**
+   * Returns the address of the callers' port.
+   *
+   * @throws IllegalStateException if the service is not started
+   */
   public InetSocketAddress address() {
     Undertow started = server;
     if (started == null) {
@@ -162,12 +166,12 @@
     return (InetSocketAddress) started.getListenerInfo().get(0).getAddress();
   }
 
-  /** Refuses every new request from now on; what is open goes on. */
+  /** Refuses every new request from now on; open requests continue. */
   public void closeIntake() {
     isIntakeClosed = true;
   }
 
-  /** Returns how many callers' requests are open. */
+  /** Returns the number of open requests. */
   public int openCount() {
     return admission.openCount();
   }
@@ -190,19 +194,21 @@
     } else if (path.startsWith(SERVICES_PATH)) {
       handleBody(exchange, method, method, bytes -> checkService(exchange, bytes), serviceCalls);
     } else {
-      refuse(exchange, ShoreroadException.notRun(ErrorCode.NOT_FOUND, "no such path: " + path));
+      refuse(exchange, ShoreroadException.notRun(ErrorCode.NOT_FOUND, "unknown path: " + path));
     }
   }
 
   private void handleBody(
       HttpServerExchange exchange,
       String method,
-      String wanted,
+      String allowedMethod,
       Consumer<byte[]> task,
       ThreadPoolExecutor pool) {
-    if (!method.equals(wanted)) {
-      exchange.getResponseHeaders().put(new io.undertow.util.HttpString("Allow"), wanted);
-      refuse(exchange, ShoreroadException.notRun(ErrorCode.METHOD_NOT_ALLOWED, "use " + wanted));
+    if (!method.equals(allowedMethod)) {
+      exchange.getResponseHeaders().put(new io.undertow.util.HttpString("Allow"), allowedMethod);
+      refuse(
+          exchange,
+          ShoreroadException.notRun(ErrorCode.METHOD_NOT_ALLOWED, "use " + allowedMethod));
       return;
     }
     if (exchange.getRequestContentLength() > settings.maxBodyBytes()) {
@@ -232,14 +238,14 @@
           try {
             pool.execute(command);
           } catch (RejectedExecutionException e) {
-            refuseLater(exchange, full());
+            refuseOnIoThread(exchange, queueFull());
           }
         },
         () -> {
           try {
             task.run();
           } catch (ShoreroadException e) {
-            refuseLater(exchange, e);
+            refuseOnIoThread(exchange, e);
           }
         });
   }
@@ -249,12 +255,12 @@
     CallerAnswer.sendError(exchange, failure, ChatRequest.newId());
   }
 
-  private void refuseLater(HttpServerExchange exchange, ShoreroadException failure) {
+  private void refuseOnIoThread(HttpServerExchange exchange, ShoreroadException failure) {
     exchange.getIoThread().execute(() -> refuse(exchange, failure));
   }
 
   private Configuration configuration() {
-    return parts.control().state().configuration();
+    return context.control().state().configuration();
   }
 
   private void sendModels(HttpServerExchange exchange) {
@@ -266,7 +272,7 @@
       data.addObject().put("id", model.name()).put("object", "model").put("owned_by", "shoreroad");
     }
     new CallerAnswer(exchange, ChatRequest.newId(), settings.maxUnsentBytes(), () -> {})
-        .sendWhole(200, "application/json", root.toString().getBytes(StandardCharsets.UTF_8));
+        .sendComplete(200, "application/json", root.toString().getBytes(StandardCharsets.UTF_8));
   }
 
   private void checkChat(HttpServerExchange exchange, byte[] bytes) {
@@ -298,7 +304,7 @@
     CallerAnswer answer =
         new CallerAnswer(
             exchange, request.requestId(), settings.maxUnsentBytes(), () -> holder[0].abandon());
-    holder[0] = new ChatExchange(parts, request, answer, claim, release);
+    holder[0] = new ChatExchange(context, request, answer, claim, release);
     exchange.getConnection().addCloseListener(closed -> holder[0].abandon());
     holder[0].start();
   }
@@ -345,14 +351,15 @@
     } catch (RejectedExecutionException e) {
       release.run();
       if (claim != null) {
-        parts.intents().withdraw(claim);
+        context.intents().withdraw(claim);
       }
-      refuseLater(exchange, full());
+      refuseOnIoThread(exchange, queueFull());
     }
   }
 
-  private static ShoreroadException full() {
-    return ShoreroadException.notRun(ErrorCode.QUEUE_FULL, "the gateway is full", LIMIT_RETRY_MS);
+  private static ShoreroadException queueFull() {
+    return ShoreroadException.notRun(
+        ErrorCode.QUEUE_FULL, "the gateway's queue is full", LIMIT_RETRY_MS);
   }
 
   private Caller checkCaller(
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/InFlightRequests.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/InFlightRequests.java
@@ -8,28 +8,28 @@
 import org.shoreroad.daemon.request.AnswerSink;
 
 /**
- * The requests that this gateway has handed to other processes, by id.
+ * The unanswered requests that this gateway has sent to other processes, by id.
  *
- * <p>An answer reaches a sink only by its own request's id and from the process that the request
- * was handed to; anything else is late or foreign and is dropped. Thread-safe.
+ * <p>The sink of a request is found only with its request id and the process that the request was
+ * sent to; any other message is late or from the wrong process and is dropped. Thread-safe.
  */
 public final class InFlightRequests {
   private final ConcurrentMap<String, Entry> entryById = new ConcurrentHashMap<>();
 
   private record Entry(String ownerId, AnswerSink sink) {}
 
-  /** Adds a request that is handed to a process; one with the same id is replaced. */
+  /** Adds a request that is sent to a process; replaces one with the same id. */
   public void add(String requestId, String ownerId, AnswerSink sink) {
     entryById.put(requestId, new Entry(ownerId, sink));
   }
 
-  /** Returns the sink of a request if it was handed to this process, else null. */
+  /** Returns the sink of a request if it was sent to this process, else null. */
   public @Nullable AnswerSink find(String requestId, String ownerId) {
     Entry entry = entryById.get(requestId);
     return entry != null && entry.ownerId().equals(ownerId) ? entry.sink() : null;
   }
 
-  /** Takes a request out if it was handed to this process; returns its sink, else null. */
+  /** Removes a request if it was sent to this process, and returns its sink, else null. */
   public @Nullable AnswerSink remove(String requestId, String ownerId) {
     Entry entry = entryById.get(requestId);
     if (entry == null || !entry.ownerId().equals(ownerId)) {
@@ -38,7 +38,7 @@
     return entryById.remove(requestId, entry) ? entry.sink() : null;
   }
 
-  /** Takes out all requests that were handed to a process. */
+  /** Removes all requests that were sent to a process, and returns their sinks. */
   public List<AnswerSink> removeAll(String ownerId) {
     List<AnswerSink> sinks = new ArrayList<>();
     for (String requestId : entryById.keySet()) {
@@ -50,7 +50,7 @@
     return sinks;
   }
 
-  /** Returns how many requests are out. */
+  /** Returns the number of unanswered requests. */
   public int size() {
     return entryById.size();
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/OwnerLink.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/OwnerLink.java
@@ -17,10 +17,10 @@
 import org.shoreroad.state.Node;
 
 /**
- * Hands requests to owners, here or at other processes, and passes the answers on.
+ * Client of the owners, in this or other processes: sends requests and receives the answers.
  *
- * <p>If the link to an owner is lost, every request that is with it fails at once, with the verdict
- * that it may have run. Thread-safe.
+ * <p>If the link to an owner is lost, every unanswered request that was sent to it fails at once,
+ * with the verdict that it may have run. Thread-safe.
  *
  * @since 0.1
  */
@@ -59,7 +59,7 @@
   @Override
   public void stop() {}
 
-  /** Hands a request to the owner. */
+  /** Sends a request to the owner, and its answer to the sink. */
   public void submit(Node to, Submission submission, AnswerSink sink) {
     if (to.id().equals(transport.self().id())) {
       owner.submit(to.id(), submission, sink);
@@ -80,7 +80,7 @@
         });
   }
 
-  /** Tells the owner that nobody waits for the answer any more. */
+  /** Cancels a request at the owner, since the caller has disconnected. */
   public void cancel(Node to, String requestId) {
     if (to.id().equals(transport.self().id())) {
       owner.cancel(requestId);
@@ -116,7 +116,10 @@
   public void onLinkLost(String nodeId) {
     ShoreroadException lost =
         ShoreroadException.of(
-            ErrorCode.OWNER_LOST, Verdict.MAY_HAVE_RUN, "the owner was lost", RETRY_AFTER_MS);
+            ErrorCode.OWNER_LOST,
+            Verdict.MAY_HAVE_RUN,
+            "the link to the owner was lost",
+            RETRY_AFTER_MS);
     inFlight.removeAll(nodeId).forEach(sink -> sink.onFailure(lost));
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/RequestTrace.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/RequestTrace.java
@@ -9,7 +9,7 @@
 import javax.inject.Singleton;
 
 /**
- * What happened to the last requests at this gateway, for an operator who asks.
+ * The steps of the most recent requests at this gateway, for operators.
  *
  * <p>Thread-safe.
  *
@@ -29,10 +29,10 @@
       };
 
   /**
-   * One thing that happened.
+   * One step of a request.
    *
-   * @param atNanos when, on the monotonic clock
-   * @param what what
+   * @param atNanos the time of the step, in nanoseconds of the monotonic clock
+   * @param what the description of the step
    */
   public record Step(long atNanos, String what) {}
 
@@ -40,7 +40,7 @@
   @Inject
   public RequestTrace() {}
 
-  /** Notes a step of a request. */
+  /** Records a step of a request; steps above the limit for one request are dropped. */
   public synchronized void add(String requestId, String what) {
     List<Step> steps = stepsById.computeIfAbsent(requestId, id -> new ArrayList<>(4));
     if (steps.size() < MAX_STEPS) {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Returns the steps of a request, if it is among the last. */
+  /** Returns the steps of a request, or empty if it is unknown or no longer recorded. */
   public synchronized Optional<List<Step>> find(String requestId) {
     return Optional.ofNullable(stepsById.get(requestId)).map(List::copyOf);
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/ServiceClient.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/ServiceClient.java
@@ -23,9 +23,10 @@
 import org.shoreroad.daemon.owner.EngineClient;
 
 /**
- * Calls plain services: the same checks, budgets and verdicts as for models, without replicas.
+ * Client of the plain services, with the same checks, retry budgets and verdicts as for models.
  *
- * <p>Blocks the calling thread, which is one of the gateway's own pool. Thread-safe.
+ * <p>Services have no replicas. Each call blocks the calling thread, which belongs to the gateway's
+ * pool for service calls. Thread-safe.
  */
 final class ServiceClient {
   private static final int MAX_ATTEMPTS = 3;
@@ -33,7 +34,7 @@
   private static final int UNAVAILABLE = 503;
   private static final int TOO_MANY = 429;
 
-  private final GatewayContext parts;
+  private final GatewayContext context;
   private final OkHttpClient client =
       new OkHttpClient.Builder()
           .retryOnConnectionFailure(false)
@@ -42,11 +43,11 @@
           .addNetworkInterceptor(DispatchGuard::intercept)
           .build();
 
-  ServiceClient(GatewayContext parts) {
-    this.parts = parts;
+  ServiceClient(GatewayContext context) {
+    this.context = context;
   }
 
-  /** A call to a service, checked. */
+  /** A call to a service that passed the checks. */
   record ServiceCall(
       String requestId,
       Caller caller,
@@ -56,7 +57,7 @@
       byte[] body,
       String contentType,
       long deadlineNanos) {
-    /** Returns the call that an exchange asks for. */
+    /** Creates the call from a caller's HTTP exchange. */
     static ServiceCall of(
         HttpServerExchange exchange, Caller caller, ServiceSpec service, byte[] body) {
       String path = exchange.getRequestPath().substring(("/services/" + service.name()).length());
@@ -74,52 +75,61 @@
     }
   }
 
-  /** What a service answered. */
+  /** The answer of a service. */
   record ServiceAnswer(int status, String contentType, byte[] body) {}
 
   /**
    * Calls the service and answers the caller.
    *
    * @param call the call
-   * @param answer where the answer goes
+   * @param answer writes the answer to the caller
    * @param claim the claim of a call that may not be repeated, else null
    */
   void run(ServiceCall call, CallerAnswer answer, IntentClient.@Nullable Claim claim) {
-    parts.upstreams().budget(call.caller().account().name(), call.service().key()).recordAttempt();
+    context
+        .upstreams()
+        .budget(call.caller().account().name(), call.service().key())
+        .recordAttempt();
     boolean mayHaveRun = false;
-    ShoreroadException failure = noUpstream();
-    List<String> left = new ArrayList<>(call.service().addresses());
-    for (int attempt = 1; attempt <= MAX_ATTEMPTS && !left.isEmpty(); attempt++) {
-      Optional<String> address = parts.upstreams().choose(left, "", System.nanoTime());
+    ShoreroadException failure = noAddress();
+    List<String> untried = new ArrayList<>(call.service().addresses());
+    for (int attempt = 1; attempt <= MAX_ATTEMPTS && !untried.isEmpty(); attempt++) {
+      Optional<String> address = context.upstreams().choose(untried, "", System.nanoTime());
       if (address.isEmpty()) {
         break;
       }
       try {
-        ServiceAnswer given = callOnce(call, address.get());
-        answer.sendWhole(given.status(), given.contentType(), given.body());
-        parts.metrics().count("shoreroad.gateway.service.answers", "status", statusClass(given));
+        ServiceAnswer serviceAnswer = callOnce(call, address.get());
+        answer.sendComplete(
+            serviceAnswer.status(), serviceAnswer.contentType(), serviceAnswer.body());
+        context
+            .metrics()
+            .count("shoreroad.gateway.service.answers", "status", statusClass(serviceAnswer));
         if (claim != null) {
-          parts.intents().finish(claim);
+          context.intents().finish(claim);
         }
         return;
       } catch (ShoreroadException e) {
         failure = e;
         mayHaveRun |= e.verdict() != Verdict.NOT_RUN;
-        left.remove(address.get());
-        if (left.isEmpty() || !mayRepeat(call, e)) {
+        untried.remove(address.get());
+        if (untried.isEmpty() || !mayRetry(call, e)) {
           break;
         }
-        parts.metrics().countRetry(e.code().toString());
+        context.metrics().countRetry(e.code().toString());
       }
     }
     finishFailed(failure, mayHaveRun, answer, claim);
   }
 
-  private boolean mayRepeat(ServiceCall call, ShoreroadException failure) {
+  private boolean mayRetry(ServiceCall call, ShoreroadException failure) {
     boolean isSafe = failure.verdict().isSafeToRepeat() || call.caller().kind().isRepeatable();
     return isSafe
         && call.deadlineNanos() - System.nanoTime() > 0
-        && parts.upstreams().budget(call.caller().account().name(), call.service().key()).tryRetry();
+        && context
+            .upstreams()
+            .budget(call.caller().account().name(), call.service().key())
+            .tryRetry();
   }
 
   private void finishFailed(
@@ -133,10 +143,10 @@
             mayHaveRun ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN,
             String.valueOf(last.getMessage()),
             last.retryAfterMs());
-    parts.metrics().countRefusal(failure.code(), failure.verdict());
+    context.metrics().countRefusal(failure.code(), failure.verdict());
     answer.fail(failure);
     if (claim != null && !mayHaveRun) {
-      parts.intents().withdraw(claim);
+      context.intents().withdraw(claim);
     }
   }
 
@@ -156,37 +166,38 @@
                     : null)
             .build();
     long timeoutNanos = Math.max(1, call.deadlineNanos() - sentNanos);
-    OkHttpClient timed =
+    OkHttpClient clientWithTimeout =
         client
             .newBuilder()
             .readTimeout(Duration.ofNanos(timeoutNanos))
             .callTimeout(Duration.ofNanos(timeoutNanos))
             .build();
-    parts.upstreams().start(address, sentNanos);
-    try (Response response = timed.newCall(request).execute()) {
-      return take(response, address, sentNanos);
+    context.upstreams().start(address, sentNanos);
+    try (Response response = clientWithTimeout.newCall(request).execute()) {
+      return readAnswer(response, address, sentNanos);
     } catch (IOException e) {
-      parts.upstreams().fail(address, System.nanoTime());
+      context.upstreams().fail(address, System.nanoTime());
       throw guard.mayHaveBeenSent()
           ? ShoreroadException.of(
               ErrorCode.UPSTREAM_FAILED,
               Verdict.MAY_HAVE_RUN,
-              "the service broke off",
+              "the connection to the service failed",
               RETRY_AFTER_MS)
           : ShoreroadException.notRun(
               ErrorCode.UPSTREAM_UNREACHABLE, "the service can't be reached", RETRY_AFTER_MS);
     }
   }
 
-  private ServiceAnswer take(Response response, String address, long sentNanos) throws IOException {
+  private ServiceAnswer readAnswer(Response response, String address, long sentNanos)
+      throws IOException {
     if (response.code() == UNAVAILABLE || response.code() == TOO_MANY) {
-      parts.upstreams().fail(address, System.nanoTime());
+      context.upstreams().fail(address, System.nanoTime());
       throw ShoreroadException.notRun(
           ErrorCode.UPSTREAM_REFUSED, "the service answered " + response.code(), RETRY_AFTER_MS);
     }
     byte[] body = response.body().bytes();
     long now = System.nanoTime();
-    parts.upstreams().succeed(address, now - sentNanos, now);
+    context.upstreams().succeed(address, now - sentNanos, now);
     String type = response.header("Content-Type", "application/octet-stream");
     return new ServiceAnswer(response.code(), String.valueOf(type), body);
   }
@@ -195,8 +206,8 @@
     return answer.status() / 100 + "xx";
   }
 
-  private static ShoreroadException noUpstream() {
+  private static ShoreroadException noAddress() {
     return ShoreroadException.notRun(
-        ErrorCode.UPSTREAM_UNREACHABLE, "no address of the service is left", RETRY_AFTER_MS);
+        ErrorCode.UPSTREAM_UNREACHABLE, "the service has no other address to try", RETRY_AFTER_MS);
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/UpstreamRegistry.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/UpstreamRegistry.java
@@ -10,38 +10,38 @@
 import org.shoreroad.routing.UpstreamStats;
 
 /**
- * What this gateway knows of each upstream, and the retry budget of each client account there.
+ * The load statistics of each upstream and the retry budgets of the client accounts.
  *
  * <p>An upstream is a generation of a model or an address of a plain service. Thread-safe.
  */
 final class UpstreamRegistry {
   private static final double NANOS_PER_MS = 1e6;
-  private static final int MAX_KNOWN = 10_000;
+  private static final int MAX_UPSTREAMS = 10_000;
 
   private final Map<String, UpstreamStats> statsByUpstream = new ConcurrentHashMap<>();
   private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
 
-  /** Chooses one of the upstreams. */
+  /** Returns the upstream for the next request, or empty if there is none. */
   Optional<String> choose(Collection<String> candidates, String prefixKey, long nowNanos) {
     return UpstreamChooser.choose(candidates, statsByUpstream, prefixKey, nowNanos);
   }
 
-  /** Notes that a request was sent there. */
+  /** Records that a request was sent to an upstream. */
   void start(String upstream, long nowNanos) {
     update(upstream, nowNanos, UpstreamStats::withStarted);
   }
 
-  /** Notes that a request ended well there. */
-  void succeed(String upstream, long tookNanos, long nowNanos) {
-    update(upstream, nowNanos, stats -> stats.withSuccess(tookNanos / NANOS_PER_MS));
+  /** Records that a request succeeded at an upstream. */
+  void succeed(String upstream, long durationNanos, long nowNanos) {
+    update(upstream, nowNanos, stats -> stats.withSuccess(durationNanos / NANOS_PER_MS));
   }
 
-  /** Notes that a request failed there. */
+  /** Records that a request failed at an upstream. */
   void fail(String upstream, long nowNanos) {
     update(upstream, nowNanos, stats -> stats.withFailure(nowNanos));
   }
 
-  /** Notes that a request ended there for a reason that says nothing of it. */
+  /** Records that a request ended for a reason that doesn't indicate the upstream's health. */
   void cancel(String upstream, long nowNanos) {
     update(upstream, nowNanos, UpstreamStats::withCancelled);
   }
@@ -52,7 +52,7 @@
   }
 
   private void update(String upstream, long nowNanos, UnaryOperator<UpstreamStats> change) {
-    if (statsByUpstream.size() > MAX_KNOWN) {
+    if (statsByUpstream.size() > MAX_UPSTREAMS) {
       statsByUpstream.values().removeIf(stats -> stats.inFlight() == 0);
     }
     statsByUpstream.compute(
--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/package-info.java
@@ -1,4 +1,4 @@
-/** The gateway's duty: callers' requests, from check to answer. */
+/** The gateway: receives, checks, forwards and answers the requests of callers. */
 @NullMarked
 package org.shoreroad.daemon.gateway;
 
--- a/daemon/src/test/java/org/shoreroad/daemon/gateway/InFlightRequestsTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/gateway/InFlightRequestsTest.java
@@ -11,7 +11,7 @@
 import org.shoreroad.ShoreroadException;
 import org.shoreroad.daemon.request.AnswerSink;
 
-/** An answer reaches its own request's sink, from its own owner, at most once. */
+/** Guards against an answer that is forwarded twice, or from the wrong process or request. */
 public class InFlightRequestsTest {
   private static final AnswerSink SINK =
       new AnswerSink() {
@@ -27,19 +27,19 @@
 
   private final InFlightRequests inFlight = new InFlightRequests();
 
-  /** An operation that the checker interleaves. */
+  /** Operation that the model checker interleaves with others. */
   @Operation
   public void add() {
     inFlight.add("r", "owner", SINK);
   }
 
-  /** An operation that the checker interleaves. */
+  /** Operation that the model checker interleaves with others. */
   @Operation
   public boolean remove() {
     return inFlight.remove("r", "owner") != null;
   }
 
-  /** An operation that the checker interleaves. */
+  /** Operation that the model checker interleaves with others. */
   @Operation
   public boolean find() {
     return inFlight.find("r", "owner") != null;
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void testFind_onlyFromTheOwnOwner() {
+  void testFind_onlyForIdAndOwnerOfTheRequest() {
     inFlight.add("r", "owner", SINK);
     assertThat(inFlight.find("r", "other"), is(nullValue()));
     assertThat(inFlight.remove("r", "other"), is(nullValue()));
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void testRemoveAll_onlyOfThatOwner() {
+  void testRemoveAll_onlyRequestsOfTheGivenOwner() {
     inFlight.add("r1", "a", SINK);
     inFlight.add("r2", "b", SINK);
     assertThat(inFlight.removeAll("a").size(), is(1));
