--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/OwnerLink.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/OwnerLink.java
@@ -80,7 +80,7 @@
         });
   }
 
-  /** Cancels a request at the owner, since the caller has disconnected. */
+  /** Cancels a request at the owner, since its answer is no longer needed. */
   public void cancel(Node to, String requestId) {
     if (to.id().equals(transport.self().id())) {
       owner.cancel(requestId);
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -180,7 +180,7 @@
     isIntakeOpen = true;
   }
 
-  /** Cancels a request whose caller has disconnected. */
+  /** Cancels a request whose answer is no longer needed. */
   void cancel(String requestId) {
     queue.removeIf(item -> item.value().submission().requestId().equals(requestId));
     RunningRequest request = running.remove(requestId);
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Cancels a request whose caller has disconnected. */
+  /** Cancels a request whose answer is no longer needed. */
   public void cancel(String requestId) {
     ownerThread.tryPost(() -> replicas.values().forEach(replica -> replica.cancel(requestId)));
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
@@ -28,9 +28,9 @@
   private long tokens;
   private @Nullable Call call;
 
-  RunningRequest(QueuedItem<PendingRequest> item, ReplicaController.ReplicaSnapshot wholeness) {
+  RunningRequest(QueuedItem<PendingRequest> item, ReplicaController.ReplicaSnapshot snapshot) {
     this.item = item;
-    this.snapshot = wholeness;
+    this.snapshot = snapshot;
     this.nextSequence = Math.max(0, item.value().submission().resumeAfter());
   }
 
