--- a/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/RunningRequest.java
@@ -11,26 +11,26 @@
 import org.shoreroad.replica.ReplicaController;
 
 /**
- * A request that was sent to an engine: pieces go on to the sink until one end or failure.
+ * A request that was sent to an engine; forwards its chunks to the sink until one end or failure.
  *
- * <p>Pieces come on the engine client's threads, ends and failures on the owner's; the lock keeps
- * anything from following the end. Thread-safe.
+ * <p>Chunks arrive on the engine client's threads, ends and failures on the owner's thread. The
+ * lock ensures that nothing is forwarded after the end. Thread-safe.
  */
 final class RunningRequest {
   private final QueuedItem<PendingRequest> item;
-  private final ReplicaController.ReplicaSnapshot wholeness;
+  private final ReplicaController.ReplicaSnapshot snapshot;
   private final List<byte[]> held = new ArrayList<>();
   private long nextSequence;
-  private boolean isOver;
+  private boolean isFinished;
   private boolean isEnding;
   private long endedNanos;
   private int resumes;
   private long tokens;
   private @Nullable Call call;
 
-  RunningRequest(QueuedItem<PendingRequest> item, ReplicaController.ReplicaSnapshot wholeness) {
+  RunningRequest(QueuedItem<PendingRequest> item, ReplicaController.ReplicaSnapshot snapshot) {
     this.item = item;
-    this.wholeness = wholeness;
+    this.snapshot = snapshot;
     this.nextSequence = Math.max(0, item.value().submission().resumeAfter());
   }
 
@@ -42,9 +42,9 @@
     return item.value().submission();
   }
 
-  /** Returns what the boxes showed when the request was sent. */
-  ReplicaController.ReplicaSnapshot wholeness() {
-    return wholeness;
+  /** Returns the state that the boxes had reported when the request was sent. */
+  ReplicaController.ReplicaSnapshot snapshot() {
+    return snapshot;
   }
 
   private AnswerSink sink() {
@@ -53,19 +53,19 @@
 
   synchronized void setCall(Call next) {
     call = next;
-    if (isOver) {
+    if (isFinished) {
       next.cancel();
     }
   }
 
-  synchronized void takeChunk(byte[] bytes) {
-    if (!isOver) {
+  synchronized void forwardChunk(byte[] bytes) {
+    if (!isFinished) {
       sink().onChunk(nextSequence++, bytes);
     }
   }
 
-  /** Notes the engine's end marker; the end is told only once the replica is known to be whole. */
-  synchronized void takeEndMarker(List<byte[]> last, long tokenCount, long nowNanos) {
+  /** Records the engine's end marker; {@link #end} forwards it after the replica was checked. */
+  synchronized void recordEndMarker(List<byte[]> last, long tokenCount, long nowNanos) {
     held.addAll(last);
     tokens = tokenCount;
     isEnding = true;
@@ -88,22 +88,22 @@
     return nextSequence;
   }
 
-  /** Counts one more resume and returns how many there were. */
+  /** Counts one more resume and returns the number of resumes. */
   synchronized int countResume() {
     return ++resumes;
   }
 
   synchronized void end() {
-    if (!isOver) {
-      isOver = true;
+    if (!isFinished) {
+      isFinished = true;
       held.forEach(bytes -> sink().onChunk(nextSequence++, bytes));
       sink().onEnd();
     }
   }
 
   synchronized void fail(ShoreroadException failure) {
-    if (!isOver) {
-      isOver = true;
+    if (!isFinished) {
+      isFinished = true;
       if (call != null) {
         call.cancel();
       }
@@ -111,9 +111,9 @@
     }
   }
 
-  /** Ends it without telling anybody, since nobody waits. */
+  /** Cancels the request without notifying the sink, since no caller waits. */
   synchronized void abandon() {
-    isOver = true;
+    isFinished = true;
     if (call != null) {
       call.cancel();
     }
