--- a/standins/src/main/java/org/shoreroad/standins/PlainServiceServer.java
+++ b/standins/src/main/java/org/shoreroad/standins/PlainServiceServer.java
@@ -16,7 +16,7 @@
   private static final int UNAVAILABLE = 503;
 
   private final StandInServer server;
-  private final List<String> ran = new ArrayList<>();
+  private final List<String> executedBodies = new ArrayList<>();
   private int cuts;
   private int refusals;
 
@@ -35,8 +35,8 @@
   }
 
   /** Returns the bodies of the calls that it ran, in order. */
-  public synchronized List<String> ran() {
-    return List.copyOf(ran);
+  public synchronized List<String> executedBodies() {
+    return List.copyOf(executedBodies);
   }
 
   /** Breaks the connection of the next calls after running them. */
@@ -78,7 +78,7 @@
       refusals--;
       return "refuse";
     }
-    ran.add(body);
+    executedBodies.add(body);
     if (cuts > 0) {
       cuts--;
       return "cut";
