--- a/cli/src/main/java/org/shoreroad/cli/LogCommands.java
+++ b/cli/src/main/java/org/shoreroad/cli/LogCommands.java
@@ -19,10 +19,11 @@
 final class LogCommands {
   private LogCommands() {}
 
-  /** Adds up what the logs of several processes say. */
+  /** Summarizes the logs of several processes. */
   @Command(
       name = "report",
-      description = "Adds up logs: refusals, repeats, late answers, losses, models and boxes.")
+      description =
+          "Summarizes logs: refusals, failed attempts, late answers, losses, models, boxes.")
   @Examples(
       examples = "shoreroadctl report front-1.log front-2.log",
       descriptions = "The logs of all processes of a site.")
@@ -38,16 +39,22 @@
     }
   }
 
-  /** Shows what happened to a request, from the logs or by the process that took it. */
+  /** Shows what happened to a request, from the logs or from the process that accepted it. */
   @Command(
       name = "explain",
-      description = "Shows where a request went and why it was refused, repeated or late.")
+      description = "Shows the upstreams of a request and why it was refused, retried or late.")
   @Examples(
       examples = {"shoreroadctl explain 0f12502215346e8b *.log", "shoreroadctl explain req-4c1f"},
-      descriptions = {"From the logs of all processes.", "Ask the process that took the request."})
+      descriptions = {
+        "From the logs of all processes.",
+        "From the process that accepted the request."
+      })
   public static final class Explain extends CtlCommand {
-    /** A line on an upstream counts this long before and after a line on the request. */
-    private static final long NEAR_MS = 3_000;
+    /**
+     * Greatest distance between a line about an upstream or the store and a line about the request
+     * for the former to be shown, in milliseconds.
+     */
+    private static final long RELATED_WINDOW_MS = 3_000;
 
     private static final List<String> UPSTREAM_EVENTS =
         List.of("replica_suspected", "box_silent", "box_order", "replica_open");
@@ -58,7 +65,7 @@
     @Required
     @Arguments(
         title = {"request-id", "log"},
-        description = "The request's id, then the logs, if it is to be looked for there.")
+        description = "The request's id, then the log files to search, if any.")
     List<String> arguments = new ArrayList<>();
 
     @Override
@@ -69,56 +76,62 @@
         print(out, client(environment).get("explain/" + id));
         return ExitCode.OK;
       }
-      ArrayNode lines = linesOn(id, LogLines.read(files));
+      ArrayNode lines = linesAbout(id, LogLines.read(files));
       if (lines.isEmpty()) {
         throw new CommandException(
-            ExitCode.REFUSED, "no line on request " + id + ": it was served, or left out");
+            ExitCode.REFUSED,
+            "no line about request " + id + ": it succeeded, or its lines were omitted");
       }
       print(out, lines);
       return ExitCode.OK;
     }
 
-    /** Returns the lines on the request, and those on its upstreams at that time. */
-    private static ArrayNode linesOn(String id, LogLines log) {
-      Set<JsonNode> own = new LinkedHashSet<>();
+    /** Returns the lines about the request, and those about its upstreams and the store then. */
+    private static ArrayNode linesAbout(String id, LogLines log) {
+      Set<JsonNode> requestLines = new LinkedHashSet<>();
       Set<String> upstreams = new LinkedHashSet<>();
       for (JsonNode line : log.all()) {
         if (line.path("request").asText().equals(id)) {
-          own.add(line);
+          requestLines.add(line);
           upstreams.add(line.path("upstream").asText());
         }
       }
       ArrayNode rows = JsonNodeFactory.instance.arrayNode();
       for (JsonNode line : log.all()) {
-        boolean isRelated = isOnAny(line, upstreams) || isOnStore(line, own);
-        if (own.contains(line) || (isRelated && isNearAny(line, own))) {
+        boolean isRelated = isUpstreamEvent(line, upstreams) || isStoreEvent(line, requestLines);
+        if (requestLines.contains(line) || (isRelated && isNearAny(line, requestLines))) {
           rows.add(toRow(line, log));
         }
       }
       return rows;
     }
 
-    private static boolean isOnAny(JsonNode line, Set<String> upstreams) {
+    private static boolean isUpstreamEvent(JsonNode line, Set<String> upstreams) {
       String box = line.path("box").asText(line.path("head").asText());
       return UPSTREAM_EVENTS.contains(line.path("event").asText())
           && !box.isEmpty()
           && upstreams.contains(box);
     }
 
-    /** Returns true if a process that had the request noticed that the store went back. */
-    private static boolean isOnStore(JsonNode line, Set<JsonNode> own) {
+    /**
+     * Returns true for a store event, such as a restore from an older copy, that was logged by a
+     * process that handled the request.
+     */
+    private static boolean isStoreEvent(JsonNode line, Set<JsonNode> requestLines) {
       return STORE_EVENTS.contains(line.path("event").asText())
-          && own.stream().anyMatch(other -> other.path("node").equals(line.path("node")));
+          && requestLines.stream().anyMatch(other -> other.path("node").equals(line.path("node")));
     }
 
     private static boolean isNearAny(JsonNode line, Set<JsonNode> others) {
       return others.stream()
-          .anyMatch(other -> Math.abs(LogLines.timeMs(other) - LogLines.timeMs(line)) <= NEAR_MS);
+          .anyMatch(
+              other ->
+                  Math.abs(LogLines.timeMs(other) - LogLines.timeMs(line)) <= RELATED_WINDOW_MS);
     }
 
     private static ObjectNode toRow(JsonNode line, LogLines log) {
       ObjectNode row = JsonNodeFactory.instance.objectNode();
-      row.put("second", log.secondsOf(line));
+      row.put("second", log.secondsSinceStart(line));
       row.put("node", line.path("node").asText());
       row.put("event", line.path("event").asText());
       ObjectNode rest = line.deepCopy();
--- a/cli/src/main/java/org/shoreroad/cli/LogLines.java
+++ b/cli/src/main/java/org/shoreroad/cli/LogLines.java
@@ -15,11 +15,11 @@
 import java.util.List;
 
 /**
- * The lines that processes wrote, of one or several files, in the order of their times.
+ * Log lines of several processes, read from one or more files and sorted by time.
  *
- * <p>What stands before the first brace of a line is passed over, so that files which carry a time
- * or a name in front of each line can be read as they are. A line that is no JSON object with a
- * time is counted and passed over.
+ * <p>Text before the first brace of a line is ignored, so that files with a time or a name in front
+ * of each line can be read unchanged. A line that isn't a JSON object with a time and an event is
+ * counted and skipped. Not thread-safe.
  */
 final class LogLines {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,14 +30,14 @@
   private LogLines() {}
 
   /**
-   * Reads files.
+   * Reads log files.
    *
-   * @throws CommandException if a file can't be opened; the message names it
+   * @throws CommandException if a file can't be read; the message names it
    */
   static LogLines read(List<String> files) {
     LogLines read = new LogLines();
     for (String file : files) {
-      // This reader replaces bytes that are no text, so that they don't end the reading.
+      // An InputStreamReader replaces malformed UTF-8; Files.newBufferedReader would throw.
       try (BufferedReader reader =
           new BufferedReader(
               new InputStreamReader(Files.newInputStream(Path.of(file)), StandardCharsets.UTF_8))) {
@@ -68,28 +68,28 @@
     }
   }
 
-  /** Returns the lines, the oldest first. */
+  /** Returns all lines, oldest first. */
   List<JsonNode> all() {
     return lines;
   }
 
-  /** Returns the lines of one kind of event, the oldest first. */
-  List<JsonNode> of(String event) {
+  /** Returns the lines of one event, oldest first. */
+  List<JsonNode> withEvent(String event) {
     return lines.stream().filter(line -> line.path("event").asText().equals(event)).toList();
   }
 
-  /** Returns how many lines could not be read. */
+  /** Returns the number of skipped lines, without blank ones. */
   int unreadable() {
     return unreadable;
   }
 
-  /** Returns how many lines the processes left out since there were too many of their kind. */
+  /** Returns the number of lines that the processes omitted because an event was too frequent. */
   long omitted() {
     return lines.stream().mapToLong(line -> line.path("omittedBefore").asLong()).sum();
   }
 
-  /** Returns how long after the first line a line was written, in seconds. */
-  double secondsOf(JsonNode line) {
+  /** Returns the time between the first line and the given line, in seconds. */
+  double secondsSinceStart(JsonNode line) {
     return lines.isEmpty() ? 0 : (timeMs(line) - timeMs(lines.get(0))) / 1e3;
   }
 
--- a/cli/src/main/java/org/shoreroad/cli/LogReport.java
+++ b/cli/src/main/java/org/shoreroad/cli/LogReport.java
@@ -11,15 +11,15 @@
 import java.util.function.Function;
 
 /**
- * What the logs of all processes say of a stretch of time: what was refused, repeated and late, how
- * long each replica was away after a loss, what the models and boxes did, when the store came back
- * from an older copy, and what upstreams asked for in their answers.
+ * Summary of the logs of all processes: refused requests, failed attempts and late answers, the
+ * downtime of each replica after a loss, the state of models and boxes over time, restores of the
+ * store from an older copy, and the signals that upstreams sent in their answers.
  */
 final class LogReport {
-  /** The processes tell the state of models and boxes this often, in seconds. */
-  private static final int STATE_SECONDS = 2;
+  /** Period at which the processes log the state of models and boxes, in seconds. */
+  private static final int STATE_PERIOD_SECONDS = 2;
 
-  /** Suspicions of one head within this time belong to one loss. */
+  /** Consecutive suspicions of one head at most this far apart count as one loss. */
   private static final long SAME_LOSS_MS = 3_000;
 
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -30,7 +30,7 @@
     this.log = log;
   }
 
-  /** Returns the report, a table for each question. */
+  /** Returns the report as one table for each topic. */
   static ObjectNode of(LogLines log) {
     LogReport report = new LogReport(log);
     ObjectNode tables = NODES.objectNode();
@@ -45,14 +45,14 @@
     tables.set("models", report.models());
     tables.set("boxes", report.boxes());
     tables.set("storeEras", report.storeEras());
-    tables.set("asked", AskedTable.of(log));
+    tables.set("asked", UpstreamSignalTable.of(log));
     return tables;
   }
 
-  /** Counts the lines of an event by a field and the model; those left out count too. */
+  /** Counts the lines of an event by a field and the model, including omitted lines. */
   private ArrayNode count(String event, String field) {
     Map<String, ObjectNode> rows = new TreeMap<>();
-    for (JsonNode line : log.of(event)) {
+    for (JsonNode line : log.withEvent(event)) {
       String value = line.path(field).asText();
       String model = line.path("model").asText();
       ObjectNode row =
@@ -64,20 +64,21 @@
                       .put(field, value)
                       .put("model", model)
                       .put("count", 0L)
-                      .put("fromSecond", round(log.secondsOf(line))));
+                      .put("fromSecond", round(log.secondsSinceStart(line))));
       row.put("count", row.path("count").asLong() + 1 + line.path("omittedBefore").asLong());
-      row.put("toSecond", round(log.secondsOf(line)));
+      row.put("toSecond", round(log.secondsSinceStart(line)));
     }
     return NODES.arrayNode().addAll(rows.values());
   }
 
   /**
-   * Returns a row for each head that stood still: until it was closed, and until it served again.
+   * Returns a row for each loss of a replica's head, with the times until the head was ordered to
+   * close and until the replica was open again.
    */
   private ArrayNode losses() {
     ArrayNode rows = NODES.arrayNode();
     Map<String, Long> lastSuspectedMs = new HashMap<>();
-    for (JsonNode line : log.of("replica_suspected")) {
+    for (JsonNode line : log.withEvent("replica_suspected")) {
       String head = line.path("head").asText();
       long timeMs = LogLines.timeMs(line);
       Long before = lastSuspectedMs.put(head, timeMs);
@@ -85,11 +86,11 @@
         rows.add(
             NODES
                 .objectNode()
-                .put("second", round(log.secondsOf(line)))
+                .put("second", round(log.secondsSinceStart(line)))
                 .put("head", head)
                 .put("silentMs", line.path("silentMs").asLong(-1))
                 .put("closedAfterMs", firstAfter("box_order", timeMs, l -> isClosing(l, head)))
-                .put("openAfterMs", firstAfter("replica_open", timeMs, l -> isAt(l, head))));
+                .put("openAfterMs", firstAfter("replica_open", timeMs, l -> isForHead(l, head))));
       }
     }
     return rows;
@@ -101,24 +102,24 @@
         && line.path("outcome").asText().equals("TAKEN");
   }
 
-  private static boolean isAt(JsonNode line, String head) {
+  private static boolean isForHead(JsonNode line, String head) {
     return line.path("head").asText().equals(head);
   }
 
-  /** Returns how long after a time the first such line was written, or -1. */
-  private long firstAfter(String event, long timeMs, Function<JsonNode, Boolean> isMeant) {
-    return log.of(event).stream()
-        .filter(line -> LogLines.timeMs(line) >= timeMs && isMeant.apply(line))
+  /** Returns the time until the first matching line at or after {@code timeMs}, in ms, or -1. */
+  private long firstAfter(String event, long timeMs, Function<JsonNode, Boolean> isMatch) {
+    return log.withEvent(event).stream()
+        .filter(line -> LogLines.timeMs(line) >= timeMs && isMatch.apply(line))
         .mapToLong(line -> LogLines.timeMs(line) - timeMs)
         .findFirst()
         .orElse(-1);
   }
 
-  /** Returns the state of each model over time, by the last process that told it. */
+  /** Returns the state of each model over time; the last line of each period counts. */
   private ArrayNode models() {
     Map<String, ObjectNode> rows = new TreeMap<>();
-    for (JsonNode line : log.of("model_state")) {
-      int second = secondOfState(line);
+    for (JsonNode line : log.withEvent("model_state")) {
+      int second = periodStartSecond(line);
       String model = line.path("model").asText();
       ObjectNode row = NODES.objectNode().put("second", second).put("model", model);
       for (String field : List.of("heads", "suspected", "open", "places", "waitingTokens")) {
@@ -129,11 +130,11 @@
     return NODES.arrayNode().addAll(rows.values());
   }
 
-  /** Returns what the boxes did over time, by the last process that told it. */
+  /** Returns the state of the boxes over time; the last line of each period counts. */
   private ArrayNode boxes() {
     Map<Integer, ObjectNode> rows = new TreeMap<>();
-    for (JsonNode line : log.of("fleet_state")) {
-      int second = secondOfState(line);
+    for (JsonNode line : log.withEvent("fleet_state")) {
+      int second = periodStartSecond(line);
       rows.put(
           second,
           NODES.objectNode().put("second", second).put("boxes", line.path("boxes").asText()));
@@ -142,12 +143,12 @@
   }
 
   /**
-   * Returns a row for each time that the store came back from an older copy: when the processes
-   * noticed it, and when the last one had listed each topic anew.
+   * Returns a row for each restore of the store from an older copy: when the processes noticed it,
+   * and when the last of them had listed each topic again.
    */
   private ArrayNode storeEras() {
     Map<Long, ObjectNode> rows = new TreeMap<>();
-    for (JsonNode line : log.of("store_era")) {
+    for (JsonNode line : log.withEvent("store_era")) {
       long era = line.path("new").asLong();
       ObjectNode row =
           rows.computeIfAbsent(
@@ -156,25 +157,25 @@
                   NODES
                       .objectNode()
                       .put("era", era)
-                      .put("fromSecond", round(log.secondsOf(line)))
+                      .put("fromSecond", round(log.secondsSinceStart(line)))
                       .put("processes", 0));
-      row.put("toSecond", round(log.secondsOf(line)));
+      row.put("toSecond", round(log.secondsSinceStart(line)));
       row.put("processes", row.path("processes").asInt() + 1);
     }
-    for (JsonNode line : log.of("topic_listed_in_new_era")) {
+    for (JsonNode line : log.withEvent("topic_listed_in_new_era")) {
       ObjectNode row = rows.get(line.path("era").asLong());
       if (row != null) {
-        row.put(line.path("topic").asText() + "ListedBySecond", round(log.secondsOf(line)));
+        row.put(line.path("topic").asText() + "ListedBySecond", round(log.secondsSinceStart(line)));
       }
     }
     return NODES.arrayNode().addAll(rows.values());
   }
 
-  private int secondOfState(JsonNode line) {
-    return (int) (log.secondsOf(line) / STATE_SECONDS) * STATE_SECONDS;
+  private int periodStartSecond(JsonNode line) {
+    return (int) (log.secondsSinceStart(line) / STATE_PERIOD_SECONDS) * STATE_PERIOD_SECONDS;
   }
 
-  /** Returns seconds to the millisecond. */
+  /** Rounds seconds to milliseconds. */
   static double round(double seconds) {
     return Math.round(seconds * 1e3) / 1e3;
   }
--- a/cli/src/main/java/org/shoreroad/cli/AskedTable.java
+++ b/cli/src/main/java/org/shoreroad/cli/UpstreamSignalTable.java
@@ -10,24 +10,27 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Table of what upstreams asked for in their answers: limits, rests, and to be left. */
-final class AskedTable {
+/**
+ * Table of the signals that upstreams sent in their answers: rate limits, pauses and announcements
+ * that they are leaving.
+ */
+final class UpstreamSignalTable {
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
   private final LogLines log;
   private final Map<String, ObjectNode> rows = new LinkedHashMap<>();
-  private final Map<String, Set<String>> nodesOfRows = new LinkedHashMap<>();
+  private final Map<String, Set<String>> nodesByRow = new LinkedHashMap<>();
 
-  private AskedTable(LogLines log) {
+  private UpstreamSignalTable(LogLines log) {
     this.log = log;
   }
 
   /**
-   * Returns a row for each upstream and each thing that it asked for: how often and by how many
-   * processes it was logged, from when to when, and the last figure.
+   * Returns a row for each upstream and signal: the number of log lines and of processes that wrote
+   * them, the times of the first and the last line, and the last value.
    */
   static ArrayNode of(LogLines log) {
-    AskedTable table = new AskedTable(log);
+    UpstreamSignalTable table = new UpstreamSignalTable(log);
     table.add("upstream_limit", "limit", "perSecond");
     table.add("upstream_limit_ended", "limit_ended", "perSecond");
     table.add("upstream_rest", "rest", "seconds");
@@ -35,11 +38,11 @@
     return NODES.arrayNode().addAll(List.copyOf(table.rows.values()));
   }
 
-  private void add(String event, String what, String figure) {
-    for (JsonNode line : log.of(event)) {
+  private void add(String event, String signal, String valueField) {
+    for (JsonNode line : log.withEvent(event)) {
       String upstream = line.path("upstream").asText();
-      String key = upstream + "/" + what;
-      double second = LogReport.round(log.secondsOf(line));
+      String key = upstream + "/" + signal;
+      double second = LogReport.round(log.secondsSinceStart(line));
       ObjectNode row =
           rows.computeIfAbsent(
               key,
@@ -47,16 +50,16 @@
                   NODES
                       .objectNode()
                       .put("upstream", upstream)
-                      .put("asked", what)
+                      .put("asked", signal)
                       .put("count", 0L)
                       .put("processes", 0)
                       .put("fromSecond", second));
-      Set<String> nodes = nodesOfRows.computeIfAbsent(key, added -> new HashSet<>());
+      Set<String> nodes = nodesByRow.computeIfAbsent(key, added -> new HashSet<>());
       nodes.add(line.path("node").asText());
       row.put("count", row.path("count").asLong() + 1);
       row.put("processes", nodes.size());
       row.put("toSecond", second);
-      row.put("lastFigure", line.path(figure).asText());
+      row.put("lastFigure", line.path(valueField).asText());
     }
   }
 }
--- a/cli/src/test/java/org/shoreroad/cli/LogCommandsTest.java
+++ b/cli/src/test/java/org/shoreroad/cli/LogCommandsTest.java
@@ -25,7 +25,7 @@
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
   private String first = "";
   private String second = "";
-  private String drill = "";
+  private String storeRestore = "";
 
   @BeforeEach
   void writeLogs() throws IOException {
@@ -53,7 +53,7 @@
                 + "\"open\":9,\"places\":54}",
             "{\"timeMs\":3100,\"node\":\"b\",\"event\":\"box_order\",\"box\":\"h2\","
                 + "\"verb\":\"LEAVE\",\"outcome\":\"TAKEN\"}");
-    drill =
+    storeRestore =
         write(
             "c.log",
             "{\"timeMs\":3000,\"node\":\"c\",\"event\":\"start\"}",
@@ -79,14 +79,14 @@
   }
 
   @Test
-  void unreadableLinesAreCountedAndPassedOver() throws IOException {
+  void unreadableLinesAreCountedAndSkipped() throws IOException {
     JsonNode report = report();
     assertThat(report.path("lines").asInt(), is(8));
     assertThat(report.path("unreadable").asInt(), is(3));
   }
 
   @Test
-  void linesThatWereLeftOutCount() throws IOException {
+  void omittedLinesAreIncludedInCounts() throws IOException {
     JsonNode late = report().path("late").path(0);
     assertThat(late.path("reason").asText(), is("pause"));
     assertThat(late.path("count").asInt(), is(5));
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void aLossIsFollowedOverTheLogsOfSeveralProcesses() throws IOException {
+  void lossIsTracedAcrossLogsOfSeveralProcesses() throws IOException {
     JsonNode loss = report().path("losses").path(0);
     assertThat(loss.path("head").asText(), is("h1"));
     assertThat(loss.path("silentMs").asInt(), is(160));
@@ -103,14 +103,14 @@
   }
 
   @Test
-  void theStateOfModelsIsTold() throws IOException {
+  void modelStateIsReported() throws IOException {
     JsonNode model = report().path("models").path(0);
     assertThat(model.path("second").asInt(), is(2));
     assertThat(model.path("open").asInt(), is(9));
   }
 
   @Test
-  void aRequestIsExplainedWithWhatItsUpstreamDidMeanwhile() {
+  void explainShowsEventsOfTheUpstreamOfTheRequestOnly() {
     assertThat(run("explain", "r1", first, second), is(ExitCode.OK));
     String text = out.toString(StandardCharsets.UTF_8);
     assertThat(text, containsString("STALLED"));
@@ -119,8 +119,8 @@
   }
 
   @Test
-  void aStoreThatCameBackOlderIsReported() throws IOException {
-    assertThat(run("report", "--output", "json", drill), is(ExitCode.OK));
+  void storeRestoreIsReported() throws IOException {
+    assertThat(run("report", "--output", "json", storeRestore), is(ExitCode.OK));
     JsonNode era = new ObjectMapper().readTree(out.toByteArray()).path("storeEras").path(0);
     assertThat(era.path("era").asLong(), is(2L));
     assertThat(era.path("processes").asInt(), is(2));
@@ -130,8 +130,8 @@
   }
 
   @Test
-  void whatUpstreamsAskedForIsReported() throws IOException {
-    String asking =
+  void upstreamSignalsAreReported() throws IOException {
+    String signals =
         write(
             "d.log",
             "{\"timeMs\":1000,\"node\":\"a\",\"event\":\"upstream_limit\",\"upstream\":\"i-1\","
@@ -140,7 +140,7 @@
                 + "\"perSecond\":\"0.8\"}",
             "{\"timeMs\":1700,\"node\":\"b\",\"event\":\"upstream_rest\",\"upstream\":\"i-1\","
                 + "\"seconds\":\"3.0\"}");
-    assertThat(run("report", "--output", "json", asking), is(ExitCode.OK));
+    assertThat(run("report", "--output", "json", signals), is(ExitCode.OK));
     JsonNode rows = new ObjectMapper().readTree(out.toByteArray()).path("asked");
     assertThat(rows.size(), is(2));
     JsonNode limit = rows.path(0);
@@ -153,15 +153,15 @@
   }
 
   @Test
-  void aRequestIsExplainedWithTheStoreAsItsProcessSawIt() {
-    assertThat(run("explain", "r1", first, second, drill), is(ExitCode.OK));
+  void explainShowsStoreEventsOfTheProcessOfTheRequestOnly() {
+    assertThat(run("explain", "r1", first, second, storeRestore), is(ExitCode.OK));
     String text = out.toString(StandardCharsets.UTF_8);
     assertThat(text, containsString("store_era"));
     assertThat(text, not(containsString("topic_listed_in_new_era")));
   }
 
   @Test
-  void anUnknownRequestAndAMissingFileAreErrors() {
+  void unknownRequestAndUnreadableFileAreErrors() {
     assertThat(run("explain", "r9", first), is(ExitCode.REFUSED));
     assertThat(run("report", folder.resolve("none.log").toString()), is(ExitCode.USAGE));
     assertThat(err.toString(StandardCharsets.UTF_8), containsString("none.log"));
