--- a/cli/src/main/java/org/shoreroad/cli/ChangeCommands.java
+++ b/cli/src/main/java/org/shoreroad/cli/ChangeCommands.java
@@ -15,7 +15,7 @@
 import org.shoreroad.config.ConfigFault;
 import org.shoreroad.config.ConfigFile;
 
-/** The commands that change the configuration, or check a change. */
+/** The commands that change the configuration or check a change. */
 final class ChangeCommands {
   private ChangeCommands() {}
 
@@ -27,7 +27,11 @@
     }
   }
 
-  /** Reads a file and throws with all its faults if it has any. */
+  /**
+   * Returns the content of a valid configuration file.
+   *
+   * @throws CommandException if it can't be read or isn't valid; the message lists all faults
+   */
   private static String readValid(String file) {
     String text = read(file);
     ConfigFile parsed = ConfigFile.parse(text);
@@ -41,9 +45,11 @@
     return text;
   }
 
-  /** Checks a file without any process. */
-  @Command(name = "validate", description = "Checks a file; each fault with line, reason and hint.")
-  @Examples(examples = "shoreroadctl validate site.yaml", descriptions = "Needs no process.")
+  /** Checks a file without calling a process. */
+  @Command(
+      name = "validate",
+      description = "Checks a file; lists each fault with line, reason and hint.")
+  @Examples(examples = "shoreroadctl validate site.yaml", descriptions = "Runs without a process.")
   public static final class Validate extends CtlCommand {
     @Required
     @Arguments(title = "file", description = "The configuration file.")
@@ -73,7 +79,7 @@
   }
 
   /** Applies a file. */
-  @Command(name = "apply", description = "Applies a file, against the base_version it names.")
+  @Command(name = "apply", description = "Applies a file as a change to its base_version.")
   @Examples(
       examples = "shoreroadctl apply --wait site.yaml",
       descriptions = "Returns once every process has applied it.")
@@ -83,12 +89,15 @@
     String file = "";
 
     @Option(name = "--wait", description = "Waits until it is in force everywhere.")
-    boolean isWaiting;
+    boolean shouldWait;
 
-    @Option(name = "--wait-ms", title = "ms", description = "How long to wait at most.")
+    @Option(name = "--wait-ms", title = "ms", description = "Maximum wait in milliseconds.")
     long waitMs = 10_000;
 
-    @Option(name = "--operator", title = "name", description = "Who changes it, for the records.")
+    @Option(
+        name = "--operator",
+        title = "name",
+        description = "Operator's name, kept with the change.")
     String operator = "unnamed";
 
     @Override
@@ -96,7 +105,7 @@
       OpsClient client = client(environment);
       JsonNode answer = client.post("config?operator=" + operator, readValid(file));
       print(out, answer);
-      return isWaiting ? awaitInForce(out, client, answer.path("version").asLong()) : ExitCode.OK;
+      return shouldWait ? awaitInForce(out, client, answer.path("version").asLong()) : ExitCode.OK;
     }
 
     private ExitCode awaitInForce(PrintStream out, OpsClient client, long version) {
@@ -126,8 +135,8 @@
   }
 
   /** Takes a box out of service. */
-  @Command(name = "drain", description = "Takes a box out of service; what runs is finished.")
-  @Examples(examples = "shoreroadctl drain box-3", descriptions = "Before work on the box.")
+  @Command(name = "drain", description = "Takes a box out of service; running requests finish.")
+  @Examples(examples = "shoreroadctl drain box-3", descriptions = "Before maintenance of the box.")
   public static final class Drain extends CtlCommand {
     @Required
     @Arguments(title = "box", description = "The box.")
@@ -140,9 +149,9 @@
     }
   }
 
-  /** Gives a box back to service. */
-  @Command(name = "undrain", description = "Gives a drained box back to service.")
-  @Examples(examples = "shoreroadctl undrain box-3", descriptions = "After work on the box.")
+  /** Returns a drained box to service. */
+  @Command(name = "undrain", description = "Returns a drained box to service.")
+  @Examples(examples = "shoreroadctl undrain box-3", descriptions = "After maintenance of the box.")
   public static final class Undrain extends CtlCommand {
     @Required
     @Arguments(title = "box", description = "The box.")
--- a/cli/src/main/java/org/shoreroad/cli/CommandException.java
+++ b/cli/src/main/java/org/shoreroad/cli/CommandException.java
@@ -1,20 +1,20 @@
 package org.shoreroad.cli;
 
 /**
- * A command failed; the message is for the operator.
+ * Signals that a command failed. The message is shown to the operator.
  *
  * @since 0.1
  */
 public final class CommandException extends RuntimeException {
   private final ExitCode exitCode;
 
-  /** Creates the exception. */
+  /** Creates an exception with the exit code of the process and a message. */
   public CommandException(ExitCode exitCode, String message) {
     super(message);
     this.exitCode = exitCode;
   }
 
-  /** Returns what the process exits with. */
+  /** Returns the exit code of the process. */
   public ExitCode exitCode() {
     return exitCode;
   }
--- a/cli/src/main/java/org/shoreroad/cli/CtlCommand.java
+++ b/cli/src/main/java/org/shoreroad/cli/CtlCommand.java
@@ -6,7 +6,7 @@
 import java.io.PrintStream;
 import java.util.Map;
 
-/** What all commands share: where to call, as whom, and how to print. */
+/** Base class of all commands: URL, operator token and output format. */
 abstract class CtlCommand {
   static final String URL_VARIABLE = "SHOREROAD_CTL_URL";
   static final String TOKEN_VARIABLE = "SHOREROAD_OPERATOR_TOKEN";
@@ -24,26 +24,26 @@
   String token = "";
 
   @AllowedRawValues(allowedValues = {"table", "json"})
-  @Option(name = "--output", title = "form", description = "table (for people) or json.")
+  @Option(name = "--output", title = "form", description = "table or json.")
   String output = "table";
 
   /**
    * Runs the command.
    *
-   * @param out where it prints
+   * @param out the stream for the result
    * @param environment the environment variables
-   * @return what the process exits with
-   * @throws CommandException if it fails
+   * @return the exit code of the process
+   * @throws CommandException if the command fails
    */
   abstract ExitCode run(PrintStream out, Map<String, String> environment);
 
   OpsClient client(Map<String, String> environment) {
-    String givenUrl = url.isEmpty() ? environment.getOrDefault(URL_VARIABLE, "") : url;
-    if (givenUrl.isEmpty()) {
-      throw new CommandException(ExitCode.USAGE, "--url or " + URL_VARIABLE + " is needed");
+    String effectiveUrl = url.isEmpty() ? environment.getOrDefault(URL_VARIABLE, "") : url;
+    if (effectiveUrl.isEmpty()) {
+      throw new CommandException(ExitCode.USAGE, "--url or " + URL_VARIABLE + " is required");
     }
-    String givenToken = token.isEmpty() ? environment.getOrDefault(TOKEN_VARIABLE, "") : token;
-    return new OpsClient(givenUrl, givenToken);
+    String effectiveToken = token.isEmpty() ? environment.getOrDefault(TOKEN_VARIABLE, "") : token;
+    return new OpsClient(effectiveUrl, effectiveToken);
   }
 
   void print(PrintStream out, JsonNode answer) {
--- a/cli/src/main/java/org/shoreroad/cli/ExitCode.java
+++ b/cli/src/main/java/org/shoreroad/cli/ExitCode.java
@@ -6,15 +6,15 @@
  * @since 0.1
  */
 public enum ExitCode {
-  /** Done. */
+  /** The command succeeded. */
   OK(0),
-  /** The system refused the call. */
+  /** The system refused the call, or the logs hold no line about the request. */
   REFUSED(1),
   /** The command line, a setting or the configuration file is wrong. */
   USAGE(2),
   /** The process can't be reached. */
   UNREACHABLE(3),
-  /** Somebody else has changed the same thing since the base version. */
+  /** Another change to the same entry was made after the base version. */
   CONFLICT(4),
   /** The configuration was accepted, but is not yet in force everywhere. */
   NOT_IN_FORCE(5),
@@ -27,7 +27,7 @@
     this.number = number;
   }
 
-  /** Returns the number that the process exits with. */
+  /** Returns the exit code of the process. */
   public int number() {
     return number;
   }
--- a/cli/src/main/java/org/shoreroad/cli/Main.java
+++ b/cli/src/main/java/org/shoreroad/cli/Main.java
@@ -23,7 +23,7 @@
 
   private static final Cli<CtlCommand> CLI =
       Cli.<CtlCommand>builder("shoreroadctl")
-          .withDescription("Looks at and changes a shoreroad system.")
+          .withDescription("Inspects and configures a shoreroad system.")
           .withDefaultCommand(ShowHelp.class)
           .withCommands(
               List.of(
@@ -44,8 +44,8 @@
 
   private Main() {}
 
-  /** Shows the help of all commands or of one. */
-  @Command(name = "help", description = "Shows the commands, or one command's help.")
+  /** Shows the help of all commands or of one command. */
+  @Command(name = "help", description = "Lists the commands, or shows the help of one.")
   public static final class ShowHelp extends CtlCommand {
     @com.github.rvesse.airline.annotations.Arguments(description = "The command.")
     List<String> commands = new java.util.ArrayList<>();
@@ -71,9 +71,9 @@
    *
    * @param args the arguments
    * @param environment the environment variables
-   * @param out where results go
-   * @param err where errors go
-   * @return what the process should exit with
+   * @param out the stream for results
+   * @param err the stream for errors
+   * @return the exit code of the process
    */
   public static ExitCode run(
       String[] args, Map<String, String> environment, PrintStream out, PrintStream err) {
--- a/cli/src/main/java/org/shoreroad/cli/OpsClient.java
+++ b/cli/src/main/java/org/shoreroad/cli/OpsClient.java
@@ -11,7 +11,7 @@
 import okhttp3.Response;
 import org.jspecify.annotations.Nullable;
 
-/** Calls the operators' port of one process. Thread-safe. */
+/** Client of the operators' port of one process. Thread-safe. */
 final class OpsClient {
   private static final MediaType YAML = MediaType.get("application/yaml");
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -41,26 +41,27 @@
       builder.url(url + "/ops/" + call).header("Authorization", "Bearer " + token);
       request = body == null ? builder.build() : builder.post(body).build();
     } catch (IllegalArgumentException e) {
-      throw new CommandException(ExitCode.USAGE, "--url is '" + url + "': a http url is expected");
+      throw new CommandException(ExitCode.USAGE, "--url '" + url + "' is not an HTTP URL");
     }
     try (Response response = client.newCall(request).execute()) {
       JsonNode answer = mapper.readTree(response.body().string());
       if (response.isSuccessful()) {
         return answer;
       }
-      throw refused(answer.path("error"), response.code());
+      throw toException(answer.path("error"), response.code());
     } catch (IOException e) {
       throw new CommandException(
           ExitCode.UNREACHABLE, url + " can't be reached: " + e.getMessage());
     }
   }
 
-  private static CommandException refused(JsonNode error, int status) {
+  private static CommandException toException(JsonNode error, int status) {
     String code = error.path("code").asText("status " + status);
     String message = code + ": " + error.path("message").asText();
     if (error.path("verdict").asText().equals("may_have_run")) {
       return new CommandException(
-          ExitCode.UNKNOWN, message + " (it may yet take effect; look at status)");
+          ExitCode.UNKNOWN,
+          message + " (the change may still take effect; check with the status command)");
     }
     return new CommandException(
         switch (code) {
--- a/cli/src/main/java/org/shoreroad/cli/QueryCommands.java
+++ b/cli/src/main/java/org/shoreroad/cli/QueryCommands.java
@@ -5,11 +5,11 @@
 import java.io.PrintStream;
 import java.util.Map;
 
-/** The commands that only look. */
+/** The read-only commands. */
 final class QueryCommands {
   private QueryCommands() {}
 
-  /** Prints the answer to one call. */
+  /** Command that prints the answer to one GET call. */
   abstract static class Query extends CtlCommand {
     abstract String call();
 
@@ -20,11 +20,11 @@
     }
   }
 
-  /** Shows one process's view of the whole. */
+  /** Shows the state of the system as one process has it. */
   @Command(name = "status", description = "Shows a process, the log and the other processes.")
   @Examples(
       examples = "shoreroadctl status --url http://127.0.0.1:7001",
-      descriptions = "Shows what that process knows.")
+      descriptions = "Shows the state as that process has it.")
   public static final class Status extends Query {
     @Override
     String call() {
@@ -34,7 +34,7 @@
 
   /** Shows the replicas. */
   @Command(name = "replicas", description = "Shows each replica, its boxes and its owner.")
-  @Examples(examples = "shoreroadctl replicas --output json", descriptions = "For programs.")
+  @Examples(examples = "shoreroadctl replicas --output json", descriptions = "Prints JSON.")
   public static final class Replicas extends Query {
     @Override
     String call() {
@@ -43,8 +43,8 @@
   }
 
   /** Shows the boxes. */
-  @Command(name = "boxes", description = "Shows each listed box and what holds it.")
-  @Examples(examples = "shoreroadctl boxes", descriptions = "For people.")
+  @Command(name = "boxes", description = "Shows each listed box and the replica that holds it.")
+  @Examples(examples = "shoreroadctl boxes", descriptions = "Prints a table.")
   public static final class Boxes extends Query {
     @Override
     String call() {
@@ -54,7 +54,7 @@
 
   /** Shows the client accounts. */
   @Command(name = "accounts", description = "Shows each client account and its limits.")
-  @Examples(examples = "shoreroadctl accounts", descriptions = "For people.")
+  @Examples(examples = "shoreroadctl accounts", descriptions = "Prints a table.")
   public static final class Accounts extends Query {
     @Override
     String call() {
@@ -62,9 +62,11 @@
     }
   }
 
-  /** Prints the configuration in force as a file. */
-  @Command(name = "export", description = "Prints the configuration as a file to change and apply.")
-  @Examples(examples = "shoreroadctl export > site.yaml", descriptions = "Begins a change.")
+  /** Prints the configuration in force as a configuration file. */
+  @Command(name = "export", description = "Prints the configuration as a file to edit and apply.")
+  @Examples(
+      examples = "shoreroadctl export > site.yaml",
+      descriptions = "Saves the configuration for editing.")
   public static final class Export extends CtlCommand {
     @Override
     ExitCode run(PrintStream out, Map<String, String> environment) {
--- a/cli/src/main/java/org/shoreroad/cli/Table.java
+++ b/cli/src/main/java/org/shoreroad/cli/Table.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Prints rows of JSON as a table for people. */
+/** Formats JSON rows as a plain-text table. */
 final class Table {
   private Table() {}
 
-  /** Returns the table, with a header, one line for each row. */
+  /** Returns the table: a header line, then one line for each row. */
   static String of(JsonNode rows) {
     Set<String> columns = new LinkedHashSet<>();
     rows.forEach(row -> row.fieldNames().forEachRemaining(columns::add));
