--- a/standins/src/main/java/org/shoreroad/standins/CacheEvents.java
+++ b/standins/src/main/java/org/shoreroad/standins/CacheEvents.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * What an engine stand-in publishes of its prompt cache: late, and with gaps.
+ * Prompt cache events of an engine stand-in, published late and with gaps.
  *
- * <p>Each event is shown only after a lag, and every tenth is lost. Thread-safe.
+ * <p>Each event is published only after a lag, and every tenth is lost. Thread-safe.
  */
 final class CacheEvents {
   private static final long LAG_NANOS = 300_000_000L;
@@ -19,11 +19,11 @@
   private long nextNumber;
 
   /**
-   * One event.
+   * A prompt that was added to the cache.
    *
-   * @param number its number, with gaps
-   * @param atNanos when it happened
-   * @param prefix the text that is cached now
+   * @param number the sequence number; lost events leave gaps
+   * @param atNanos the time of the event, by {@link System#nanoTime}
+   * @param prefix the cached text
    */
   record Event(long number, long atNanos, String prefix) {}
 
@@ -37,14 +37,14 @@
     }
   }
 
-  /** Returns the events after a number that are old enough to be shown. */
+  /** Returns the events after a sequence number that are older than the lag. */
   synchronized List<Event> after(long number) {
-    List<Event> shown = new ArrayList<>();
+    List<Event> published = new ArrayList<>();
     for (Event event : events) {
       if (event.number() > number && System.nanoTime() - event.atNanos() >= LAG_NANOS) {
-        shown.add(event);
+        published.add(event);
       }
     }
-    return shown;
+    return published;
   }
 }
--- a/standins/src/main/java/org/shoreroad/standins/EngineBox.java
+++ b/standins/src/main/java/org/shoreroad/standins/EngineBox.java
@@ -11,10 +11,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The engine of one box: its loads, its running requests and the faults it was told to have.
+ * State of the engine of one box: its loads, its running requests and its injected faults.
  *
- * <p>A request runs only at the head of a load. The engine itself does not look whether the other
- * boxes are there, so that a wrong dispatch shows in the history. Thread-safe.
+ * <p>A request runs only on the head box of a load. The engine doesn't check that the other boxes
+ * of the replica are present, so that a wrong dispatch appears in the history. Thread-safe.
  */
 final class EngineBox {
   private final String name;
@@ -63,7 +63,7 @@
     loadDelayMs = ms;
   }
 
-  /** Makes the connection of each next request break after so many tokens, 0 for never. */
+  /** Closes the connection of each later request after so many streamed tokens; 0 for never. */
   void setCutAfterTokens(int tokens) {
     cutAfterTokens = tokens;
   }
@@ -72,7 +72,7 @@
     return cutAfterTokens;
   }
 
-  /** The engine dies: everything it held is gone. */
+  /** Stops the engine abruptly: its loads and running requests are lost. */
   synchronized void kill() {
     isDead = true;
     loads.clear();
@@ -80,7 +80,7 @@
     history.add(name, "kill", "", "");
   }
 
-  /** The engine starts anew. */
+  /** Restarts a killed engine with a new boot id. */
   synchronized void revive() {
     bootId = UUID.randomUUID().toString();
     isDead = false;
@@ -91,7 +91,7 @@
     isFrozen = frozen;
   }
 
-  /** Waits while the engine is frozen. */
+  /** Blocks while the engine is frozen. */
   void awaitThaw() throws InterruptedException {
     while (isFrozen) {
       Thread.sleep(5);
@@ -112,9 +112,9 @@
         "box", name, "boot_id", bootId, "loads", list, "running", runningCount.reported());
   }
 
-  /** Takes a load order; returns false if its fencing number is refused. */
+  /** Executes a load order; returns false if the fencing number is stale. */
   synchronized boolean load(String loadName, long fence) {
-    if (!passesFence(fence)) {
+    if (!acceptsFence(fence)) {
       history.add(name, "refused", loadName, "");
       return false;
     }
@@ -124,9 +124,9 @@
     return true;
   }
 
-  /** Takes an unload order; returns false if its fencing number is refused. */
+  /** Executes an unload order; returns false if the fencing number is stale. */
   synchronized boolean unload(String loadName, long fence) {
-    if (!passesFence(fence)) {
+    if (!acceptsFence(fence)) {
       history.add(name, "refused", loadName, "");
       return false;
     }
@@ -137,7 +137,7 @@
     return true;
   }
 
-  private boolean passesFence(long fence) {
+  private boolean acceptsFence(long fence) {
     if (!isFenced) {
       return true;
     }
@@ -148,7 +148,7 @@
     return true;
   }
 
-  /** Starts a request; returns null if nothing is loaded under the name. */
+  /** Starts a request; returns null if its load isn't ready or the fencing number is stale. */
   synchronized @Nullable EngineRun start(String requestId, JsonNode body, long fence) {
     String loadName = body.path("model").asText();
     Load load = loads.get(loadName);
@@ -163,7 +163,7 @@
     runningCount.add(1);
     cacheEvents.add(run.prompt());
     load.running().incrementAndGet();
-    run.setOnOver(
+    run.setOnEnd(
         () -> {
           runningCount.add(-1);
           load.running().decrementAndGet();
@@ -171,12 +171,12 @@
     return run;
   }
 
-  /** Returns what is known of the prompt cache after an event's number. */
+  /** Returns the published prompt cache events after a sequence number. */
   java.util.List<CacheEvents.Event> cacheEventsAfter(long number) {
     return cacheEvents.after(number);
   }
 
-  /** Returns a run whose stream can still be taken up. */
+  /** Returns the run of a request, or null if it is unknown or was lost by a kill. */
   @Nullable EngineRun find(String requestId) {
     return runs.get(requestId);
   }
--- a/standins/src/main/java/org/shoreroad/standins/EngineEvent.java
+++ b/standins/src/main/java/org/shoreroad/standins/EngineEvent.java
@@ -1,9 +1,9 @@
 package org.shoreroad.standins;
 
 /**
- * One thing that an engine stand-in did, for the history that checkers read.
+ * An event of an engine stand-in, recorded in the history for the consistency checks of tests.
  *
- * @param atNanos when, on the monotonic clock of the stand-in
+ * @param atNanos the time of the event, by the monotonic clock of the stand-in's process
  * @param box the box
  * @param kind what: load, unload, refused, start, token, end, cancelled
  * @param name the load name, for all but cancelled
--- a/standins/src/main/java/org/shoreroad/standins/EngineRun.java
+++ b/standins/src/main/java/org/shoreroad/standins/EngineRun.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One request that an engine stand-in runs: it generates on, whether or not anybody reads.
+ * A request running on an engine stand-in. Generation continues even if no client reads the answer.
  *
- * <p>The answer repeats the request's own text, so a reader can tell whose answer it holds.
+ * <p>The answer repeats the text of the request, so that a test can match an answer to its request.
  * Thread-safe.
  */
 final class EngineRun {
-  private static final int STANDARD_TOKENS = 8;
+  private static final int DEFAULT_TOKENS = 8;
 
   private final EngineBox box;
   private final String requestId;
@@ -21,9 +21,9 @@
   private final List<String> events = new ArrayList<>();
   private final int tokenCount;
   private final String prompt;
-  private final AtomicBoolean isOver = new AtomicBoolean();
-  private Runnable onOver = () -> {};
-  private boolean isDone;
+  private final AtomicBoolean hasEnded = new AtomicBoolean();
+  private Runnable onEnd = () -> {};
+  private boolean hasCompleted;
   private boolean hasFailed;
 
   EngineRun(
@@ -32,7 +32,7 @@
     this.requestId = requestId;
     this.loadName = loadName;
     this.history = history;
-    this.tokenCount = body.path("max_tokens").asInt(STANDARD_TOKENS);
+    this.tokenCount = body.path("max_tokens").asInt(DEFAULT_TOKENS);
     this.prompt = body.path("messages").path(0).path("content").asText();
   }
 
@@ -48,12 +48,12 @@
     return tokenCount;
   }
 
-  void setOnOver(Runnable task) {
-    onOver = task;
+  void setOnEnd(Runnable task) {
+    onEnd = task;
   }
 
-  /** Generates the tokens on a thread of its own. */
-  void begin() {
+  /** Starts a thread that generates the tokens. */
+  void startGenerating() {
     Thread thread = new Thread(this::generate, "engine-run");
     thread.setDaemon(true);
     thread.start();
@@ -61,7 +61,7 @@
 
   private void generate() {
     try {
-      for (int i = 0; i < tokenCount && !isOver.get(); i++) {
+      for (int i = 0; i < tokenCount && !hasEnded.get(); i++) {
         if (box.tokenDelayMs() > 0) {
           Thread.sleep(box.tokenDelayMs());
         }
@@ -72,7 +72,7 @@
         }
         add(event("{\"content\":\"" + token(i) + " \"}", "null"));
       }
-      if (!isOver.get()) {
+      if (!hasEnded.get()) {
         add(event("{}", "\"stop\""));
         finish(true);
       }
@@ -81,9 +81,9 @@
     }
   }
 
-  /** Returns a token: the prompt's text and the token's place. */
-  String token(int place) {
-    return prompt + "." + place;
+  /** Returns the token at an index: the prompt, a dot and the index. */
+  String token(int index) {
+    return prompt + "." + index;
   }
 
   private String event(String delta, String reason) {
@@ -103,19 +103,19 @@
     notifyAll();
   }
 
-  private void finish(boolean isWhole) {
-    if (isOver.compareAndSet(false, true)) {
-      onOver.run();
-      history.add(box.name(), isWhole ? "end" : "failed", loadName, requestId);
+  private void finish(boolean isComplete) {
+    if (hasEnded.compareAndSet(false, true)) {
+      onEnd.run();
+      history.add(box.name(), isComplete ? "end" : "failed", loadName, requestId);
       synchronized (this) {
-        isDone = isWhole;
-        hasFailed = !isWhole;
+        hasCompleted = isComplete;
+        hasFailed = !isComplete;
         notifyAll();
       }
     }
   }
 
-  /** The run breaks off. */
+  /** Ends the run as failed, unless it has ended already. */
   void fail() {
     finish(false);
   }
@@ -123,11 +123,11 @@
   /**
    * Waits for an event.
    *
-   * @param number the event's number from 0
-   * @return the event, {@code [DONE]} after the last, or an empty text if the run broke off
+   * @param number the index of the event, from 0
+   * @return the event, {@code [DONE]} after the last, or an empty text if the run failed
    */
   synchronized String awaitEvent(int number) throws InterruptedException {
-    while (events.size() <= number && !isDone && !hasFailed) {
+    while (events.size() <= number && !hasCompleted && !hasFailed) {
       wait(100);
     }
     if (hasFailed) {
@@ -136,9 +136,9 @@
     return events.size() > number ? events.get(number) : "[DONE]";
   }
 
-  /** Waits for the end; returns the whole text, or an empty one if the run broke off. */
+  /** Waits for the end; returns the full text, or an empty text if the run failed. */
   synchronized String awaitText() throws InterruptedException {
-    while (!isDone && !hasFailed) {
+    while (!hasCompleted && !hasFailed) {
       wait(100);
     }
     StringBuilder text = new StringBuilder();
--- a/standins/src/main/java/org/shoreroad/standins/EngineServer.java
+++ b/standins/src/main/java/org/shoreroad/standins/EngineServer.java
@@ -12,9 +12,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One box's engine over HTTP, in the shape of an OpenAI-style server, with health, orders and a
- * stream that can be taken up again. Its load report lags; {@code GET /cache/events?after=N} tells
- * of its prompt cache, late and with gaps.
+ * HTTP server for the engine of one box, with an OpenAI-style API, health, load and unload orders
+ * and resumable streams. Its load report lags; {@code GET /cache/events?after=N} returns the events
+ * of its prompt cache, late and with gaps. Thread-safe.
  *
  * <p>{@code POST /control/ACTION}: {@code kill}, {@code revive}, {@code freeze}, {@code thaw},
  * {@code slow?ms=N} (between tokens), {@code load_ms?ms=N}, {@code cut?tokens=N}.
@@ -36,14 +36,14 @@
   }
 
   /**
-   * Starts a box.
+   * Starts the engine of a box.
    *
-   * @param name its name
-   * @param isFenced whether it refuses old fencing numbers
-   * @param tokenDelayMs how long each token takes
-   * @param loadDelayMs how long a load takes
+   * @param name the name of the box
+   * @param isFenced whether it refuses stale fencing numbers
+   * @param tokenDelayMs the time for each token, in milliseconds
+   * @param loadDelayMs the time for a load, in milliseconds
    * @param port the port, 0 for a free one
-   * @param history where it writes what it does
+   * @param history the history to which it adds its events
    */
   public static EngineServer start(
       String name,
@@ -61,32 +61,32 @@
     return server.address();
   }
 
-  /** Kills the engine: connections break, what it held is gone. */
+  /** Stops the engine abruptly: connections break, loads and running requests are lost. */
   public void kill() {
     box.kill();
   }
 
-  /** Starts the engine anew. */
+  /** Restarts a killed engine with a new boot id. */
   public void revive() {
     box.revive();
   }
 
-  /** Freezes the engine, or thaws it. */
+  /** Suspends the engine, or resumes it. */
   public void setFrozen(boolean frozen) {
     box.setFrozen(frozen);
   }
 
-  /** Sets how long each token takes. */
+  /** Sets the time for each token, in milliseconds. */
   public void setTokenDelayMs(long ms) {
     box.setTokenDelayMs(ms);
   }
 
-  /** Sets how long a load takes. */
+  /** Sets the time for each later load, in milliseconds. */
   public void setLoadDelayMs(long ms) {
     box.setLoadDelayMs(ms);
   }
 
-  /** Makes the connection of each next request break after so many tokens, 0 for never. */
+  /** Closes the connection of each later request after so many streamed tokens; 0 for never. */
   public void setCutAfterTokens(int tokens) {
     box.setCutAfterTokens(tokens);
   }
@@ -142,8 +142,8 @@
   private void order(HttpServerExchange exchange, boolean isLoad) throws IOException {
     String name = StandInServer.readJson(exchange).path("name").asText();
     long fence = fence(exchange);
-    boolean isTaken = isLoad ? box.load(name, fence) : box.unload(name, fence);
-    StandInServer.sendStatus(exchange, isTaken ? ACCEPTED : CONFLICT);
+    boolean isAccepted = isLoad ? box.load(name, fence) : box.unload(name, fence);
+    StandInServer.sendStatus(exchange, isAccepted ? ACCEPTED : CONFLICT);
   }
 
   private static long fence(HttpServerExchange exchange) {
@@ -159,16 +159,16 @@
       StandInServer.sendStatus(exchange, NOT_FOUND);
       return;
     }
-    run.begin();
+    run.startGenerating();
     exchange.getResponseHeaders().put(REQUEST_ID, requestId);
     if (body.path("stream").asBoolean()) {
       sendEvents(exchange, run, 0, box.cutAfterTokens());
     } else {
-      sendWhole(exchange, run, requestId);
+      sendCompletion(exchange, run, requestId);
     }
   }
 
-  private void sendWhole(HttpServerExchange exchange, EngineRun run, String requestId)
+  private void sendCompletion(HttpServerExchange exchange, EngineRun run, String requestId)
       throws Exception {
     String text = run.awaitText();
     box.awaitThaw();
@@ -203,9 +203,9 @@
       run.fail();
       StandInServer.sendStatus(exchange, ACCEPTED);
     } else {
-      String last = exchange.getRequestHeaders().getFirst("Last-Event-ID");
+      String lastEventId = exchange.getRequestHeaders().getFirst("Last-Event-ID");
       exchange.getResponseHeaders().put(REQUEST_ID, requestId);
-      sendEvents(exchange, run, last == null ? 0 : Integer.parseInt(last) + 1, 0);
+      sendEvents(exchange, run, lastEventId == null ? 0 : Integer.parseInt(lastEventId) + 1, 0);
     }
   }
 
