--- a/standins/src/main/java/org/shoreroad/standins/LogServer.java
+++ b/standins/src/main/java/org/shoreroad/standins/LogServer.java
@@ -12,11 +12,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The platform's log over HTTP.
+ * HTTP server for the platform's log, with an append rate limit and injected faults. Thread-safe.
  *
- * <p>{@code POST /control/fault?mode=M} with M of {@code ok}, {@code down} (refuses everything),
- * {@code slow} (each answer takes {@code ms}), or {@code lose_answers} (the next {@code count}
- * appends take effect and their answers are lost).
+ * <p>{@code POST /control/fault?mode=M} with M of {@code ok}, {@code down} (refuses all calls),
+ * {@code slow} (delays each call by {@code ms}), or {@code lose_answers} (the next {@code count}
+ * appends take effect, but their answers are lost).
  */
 public final class LogServer implements AutoCloseable {
   private static final int WORKERS = 64;
@@ -32,8 +32,8 @@
   private final AtomicLong reads = new AtomicLong();
   private volatile boolean isDown;
   private volatile long delayMs;
-  private long secondBegunNanos = System.nanoTime();
-  private int appendsInSecond;
+  private long windowStartNanos = System.nanoTime();
+  private int appendsInWindow;
 
   private LogServer(int port, int retainedRecords, int maxAppendsPerSecond) {
     this.store = new LogStore(retainedRecords);
@@ -41,42 +41,42 @@
     this.server = StandInServer.start(port, WORKERS, this::handle);
   }
 
-  /** Starts the log. */
+  /** Starts the log, with a limit on the appends in each second. */
   public static LogServer start(int port, int retainedRecords, int maxAppendsPerSecond) {
     return new LogServer(port, retainedRecords, maxAppendsPerSecond);
   }
 
-  /** Returns its URL. */
+  /** Returns the URL of the log. */
   public String url() {
     return "http://" + server.address();
   }
 
-  /** Returns how many appends it took. */
+  /** Returns the number of accepted appends. */
   public long appendCount() {
     return appends.get();
   }
 
-  /** Returns how many reads it answered. */
+  /** Returns the number of answered reads. */
   public long readCount() {
     return reads.get();
   }
 
-  /** Returns the streams. */
+  /** Returns the store of the streams. */
   public LogStore store() {
     return store;
   }
 
-  /** Makes it refuse everything, or not. */
+  /** Sets whether the log refuses all calls. */
   public void setDown(boolean down) {
     isDown = down;
   }
 
-  /** Makes each answer take so long. */
+  /** Sets the delay of each call, in milliseconds. */
   public void setDelayMs(long ms) {
     delayMs = ms;
   }
 
-  /** Makes the next appends take effect without an answer. */
+  /** Closes the connections of the next appends after they took effect, without an answer. */
   public void loseAnswers(int count) {
     answersToLose.set(count);
   }
@@ -118,18 +118,18 @@
     StandInServer.sendJson(exchange, 200, java.util.Map.of("mode", mode));
   }
 
-  private synchronized boolean tryTakeRate() {
+  private synchronized boolean tryAcquireAppend() {
     long now = System.nanoTime();
-    if (now - secondBegunNanos >= 1_000_000_000L) {
-      secondBegunNanos = now;
-      appendsInSecond = 0;
+    if (now - windowStartNanos >= 1_000_000_000L) {
+      windowStartNanos = now;
+      appendsInWindow = 0;
     }
-    appendsInSecond++;
-    return appendsInSecond <= maxAppendsPerSecond;
+    appendsInWindow++;
+    return appendsInWindow <= maxAppendsPerSecond;
   }
 
   private void append(HttpServerExchange exchange, String stream) throws IOException {
-    if (!tryTakeRate()) {
+    if (!tryAcquireAppend()) {
       StandInServer.sendStatus(exchange, TOO_MANY);
       return;
     }
--- a/standins/src/main/java/org/shoreroad/standins/LogStore.java
+++ b/standins/src/main/java/org/shoreroad/standins/LogStore.java
@@ -11,18 +11,18 @@
   private final int retainedRecords;
 
   /**
-   * One record.
+   * A record of a stream.
    *
-   * @param offset its offset
-   * @param bytes its content
+   * @param offset the offset in the stream
+   * @param bytes the content
    */
   public record Entry(long offset, byte[] bytes) {}
 
   /**
-   * What a read gives.
+   * The result of a read.
    *
-   * @param earliest the earliest offset kept, or head + 1 if none
-   * @param head the last offset, or 0
+   * @param earliest the earliest retained offset, or head + 1 if no record is retained
+   * @param head the last offset, or 0 if nothing was appended
    * @param entries the records
    */
   public record Batch(long earliest, long head, List<Entry> entries) {}
@@ -36,36 +36,36 @@
     }
   }
 
-  /** Creates an empty log that keeps so many records of each stream. */
+  /** Creates an empty log that retains the given number of records of each stream. */
   public LogStore(int retainedRecords) {
     this.retainedRecords = retainedRecords;
   }
 
-  /** Appends records next to each other; returns the offset of the first. */
+  /** Appends records at consecutive offsets and returns the offset of the first. */
   public synchronized long append(String name, List<byte[]> records) {
     Stream stream = streams.computeIfAbsent(name, n -> new Stream());
     long first = stream.head() + 1;
     stream.records.addAll(records);
-    int tooMany = stream.records.size() - retainedRecords;
-    if (tooMany > 0) {
-      stream.records.subList(0, tooMany).clear();
-      stream.earliest += tooMany;
+    int excess = stream.records.size() - retainedRecords;
+    if (excess > 0) {
+      stream.records.subList(0, excess).clear();
+      stream.earliest += excess;
     }
     notifyAll();
     return first;
   }
 
-  /** Reads from an offset; waits for a record for a time if there is none. */
+  /** Reads at most {@code max} records from an offset; waits up to {@code waitMs} for the first. */
   public synchronized Batch read(String name, long from, int max, long waitMs)
       throws InterruptedException {
     long endNanos = System.nanoTime() + waitMs * 1_000_000;
     Stream stream = streams.computeIfAbsent(name, n -> new Stream());
     while (stream.head() < from) {
-      long leftMs = (endNanos - System.nanoTime()) / 1_000_000;
-      if (leftMs <= 0) {
+      long remainingMs = (endNanos - System.nanoTime()) / 1_000_000;
+      if (remainingMs <= 0) {
         break;
       }
-      wait(leftMs);
+      wait(remainingMs);
     }
     List<Entry> entries = new ArrayList<>();
     long first = Math.max(from, stream.earliest);
