--- a/standins/src/main/java/org/shoreroad/standins/BoxListServer.java
+++ b/standins/src/main/java/org/shoreroad/standins/BoxListServer.java
@@ -8,7 +8,8 @@
 import java.util.Map;
 
 /**
- * The platform's list of boxes, which shows each change only after a lag.
+ * HTTP server for the platform's list of boxes, which publishes each change after a lag.
+ * Thread-safe.
  *
  * <p>{@code POST /boxes} with one box adds or replaces it; {@code POST
  * /control/state?box=B&state=S} sets it {@code live}, {@code leaving} or {@code gone}.
@@ -18,7 +19,7 @@
 
   private final StandInServer server;
   private final long lagMs;
-  private final Map<String, Map<String, String>> shown = new LinkedHashMap<>();
+  private final Map<String, Map<String, String>> published = new LinkedHashMap<>();
   private final Deque<Change> changes = new ArrayDeque<>();
 
   private record Change(long dueNanos, Runnable task) {}
@@ -28,21 +29,21 @@
     this.server = StandInServer.start(port, WORKERS, this::handle);
   }
 
-  /** Starts the list. */
+  /** Starts the server, with the lag of each change in milliseconds. */
   public static BoxListServer start(int port, long lagMs) {
     return new BoxListServer(port, lagMs);
   }
 
-  /** Returns its URL. */
+  /** Returns the URL of the server. */
   public String url() {
     return "http://" + server.address();
   }
 
-  /** Adds or replaces a box; shown after the lag. */
+  /** Adds or replaces a box; published after the lag. */
   public synchronized void add(String name, String address, String domain, String zone) {
-    later(
+    schedule(
         () ->
-            shown.put(
+            published.put(
                 name,
                 new LinkedHashMap<>(
                     Map.of(
@@ -53,14 +54,14 @@
                         "state", "live"))));
   }
 
-  /** Sets the state of a box; shown after the lag. */
+  /** Sets the state of a box, or removes it if {@code gone}; published after the lag. */
   public synchronized void setState(String name, String state) {
-    later(
+    schedule(
         () -> {
           if (state.equals("gone")) {
-            shown.remove(name);
-          } else if (shown.containsKey(name)) {
-            shown.get(name).put("state", state);
+            published.remove(name);
+          } else if (published.containsKey(name)) {
+            published.get(name).put("state", state);
           }
         });
   }
@@ -70,15 +71,15 @@
     server.close();
   }
 
-  private void later(Runnable task) {
+  private void schedule(Runnable task) {
     changes.add(new Change(System.nanoTime() + lagMs * 1_000_000, task));
   }
 
-  private synchronized List<Map<String, String>> show() {
+  private synchronized List<Map<String, String>> currentList() {
     while (!changes.isEmpty() && changes.peek().dueNanos() - System.nanoTime() <= 0) {
       changes.remove().task().run();
     }
-    return shown.values().stream().<Map<String, String>>map(LinkedHashMap::new).toList();
+    return published.values().stream().<Map<String, String>>map(LinkedHashMap::new).toList();
   }
 
   private void handle(HttpServerExchange exchange) throws Exception {
@@ -96,7 +97,7 @@
           box.path("availability_zone").asText());
       StandInServer.sendJson(exchange, 200, Map.of("ok", true));
     } else {
-      StandInServer.sendJson(exchange, 200, show());
+      StandInServer.sendJson(exchange, 200, currentList());
     }
   }
 }
--- a/standins/src/main/java/org/shoreroad/standins/Main.java
+++ b/standins/src/main/java/org/shoreroad/standins/Main.java
@@ -13,13 +13,16 @@
 import okhttp3.Request;
 import okhttp3.RequestBody;
 
-/** Runs one stand-in as a process: {@code log}, {@code boxes}, {@code weights}, {@code domain}. */
+/**
+ * Runs one stand-in as a process: {@code log}, {@code boxes}, {@code weights}, {@code domain} or
+ * {@code service}.
+ */
 @Command(name = "standin", description = "Runs a stand-in for the platform or for engines.")
 public final class Main {
   @Option(name = "--port", description = "Port on 127.0.0.1; 0 takes a free one.")
   int port;
 
-  @Option(name = "--boxes-url", description = "Where a domain lists its boxes.")
+  @Option(name = "--boxes-url", description = "URL of the list to which a domain adds its boxes.")
   String boxesUrl = "";
 
   @Option(name = "--domain", description = "Name of the fabric domain.")
@@ -28,31 +31,31 @@
   @Option(name = "--zone", description = "Availability zone of the domain.")
   String zone = "zone-1";
 
-  @Option(name = "--count", description = "How many boxes the domain has.")
+  @Option(name = "--count", description = "Number of boxes of the domain.")
   int count = 4;
 
   @Option(name = "--fenced", description = "Whether the engines check fencing numbers.")
   boolean isFenced;
 
-  @Option(name = "--token-ms", description = "How long each token takes.")
+  @Option(name = "--token-ms", description = "Time for each token in milliseconds.")
   long tokenMs = 5;
 
-  @Option(name = "--load-ms", description = "How long a load takes.")
+  @Option(name = "--load-ms", description = "Time for a load in milliseconds.")
   long loadMs = 300;
 
-  @Option(name = "--lag-ms", description = "How long the list of boxes lags.")
+  @Option(name = "--lag-ms", description = "Lag of the list of boxes in milliseconds.")
   long lagMs = 200;
 
-  @Option(name = "--retained-records", description = "How many records a stream keeps.")
+  @Option(name = "--retained-records", description = "Number of records retained in each stream.")
   int retainedRecords = 1_000_000;
 
-  @Option(name = "--appends-per-second", description = "How many appends the log takes.")
+  @Option(name = "--appends-per-second", description = "Maximum number of appends in each second.")
   int appendsPerSecond = 400;
 
-  @Arguments(description = "Which stand-in: log, boxes, weights, domain or service.")
+  @Arguments(description = "Kind of stand-in: log, boxes, weights, domain or service.")
   List<String> kinds = new ArrayList<>();
 
-  /** Creates the command, for Airline to fill in. */
+  /** Creates the command; Airline sets its fields. */
   public Main() {}
 
   /** Runs the stand-in until it is killed. */
@@ -71,7 +74,7 @@
       case "service" -> System.out.println("ready " + PlainServiceServer.start(port).address());
       case "domain" -> runDomain();
       default -> {
-        System.err.println("standin: name one of log, boxes, weights, domain, service");
+        System.err.println("standin: argument must be one of log, boxes, weights, domain, service");
         System.exit(2);
       }
     }
--- a/standins/src/main/java/org/shoreroad/standins/PlainServiceServer.java
+++ b/standins/src/main/java/org/shoreroad/standins/PlainServiceServer.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * A plain service that remembers every call it ran.
+ * A plain service that records every call it executes. Thread-safe.
  *
- * <p>{@code POST /control/cut} makes it break the next connection after it ran the call; {@code
- * POST /control/refuse} makes it refuse the next call.
+ * <p>{@code POST /control/cut} makes it close the connection of the next call after executing it,
+ * without an answer; {@code POST /control/refuse} makes it refuse the next call.
  */
 public final class PlainServiceServer implements AutoCloseable {
   private static final int WORKERS = 64;
@@ -17,8 +17,8 @@
 
   private final StandInServer server;
   private final List<String> executedBodies = new ArrayList<>();
-  private int cuts;
-  private int refusals;
+  private int remainingCuts;
+  private int remainingRefusals;
 
   private PlainServiceServer(int port) {
     this.server = StandInServer.start(port, WORKERS, this::handle);
@@ -34,19 +34,19 @@
     return server.address();
   }
 
-  /** Returns the bodies of the calls that it ran, in order. */
+  /** Returns the bodies of the executed calls, in order of execution. */
   public synchronized List<String> executedBodies() {
     return List.copyOf(executedBodies);
   }
 
-  /** Breaks the connection of the next calls after running them. */
+  /** Closes the connections of the next calls after executing them, without an answer. */
   public synchronized void cutNext(int count) {
-    cuts = count;
+    remainingCuts = count;
   }
 
-  /** Refuses the next calls. */
+  /** Refuses the next calls without executing them. */
   public synchronized void refuseNext(int count) {
-    refusals = count;
+    remainingRefusals = count;
   }
 
   @Override
@@ -66,21 +66,21 @@
       return;
     }
     String body = new String(exchange.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    switch (run(body)) {
+    switch (execute(body)) {
       case "refuse" -> StandInServer.sendStatus(exchange, UNAVAILABLE);
       case "cut" -> exchange.getConnection().close();
       default -> exchange.getResponseSender().send("{\"echo\":\"" + body.length() + "\"}");
     }
   }
 
-  private synchronized String run(String body) {
-    if (refusals > 0) {
-      refusals--;
+  private synchronized String execute(String body) {
+    if (remainingRefusals > 0) {
+      remainingRefusals--;
       return "refuse";
     }
     executedBodies.add(body);
-    if (cuts > 0) {
-      cuts--;
+    if (remainingCuts > 0) {
+      remainingCuts--;
       return "cut";
     }
     return "answer";
--- a/standins/src/main/java/org/shoreroad/standins/StandInServer.java
+++ b/standins/src/main/java/org/shoreroad/standins/StandInServer.java
@@ -11,7 +11,7 @@
 import java.net.InetSocketAddress;
 import org.jspecify.annotations.Nullable;
 
-/** A blocking HTTP server on a loopback port, and the few helpers that all stand-ins share. */
+/** Blocking HTTP server on a loopback port, with helpers shared by the stand-ins. Thread-safe. */
 public final class StandInServer implements AutoCloseable {
   static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -68,8 +68,8 @@
     return values == null ? null : values.getFirst();
   }
 
-  static long number(HttpServerExchange exchange, String name, long standard) {
+  static long number(HttpServerExchange exchange, String name, long defaultValue) {
     String text = parameter(exchange, name);
-    return text == null ? standard : Long.parseLong(text);
+    return text == null ? defaultValue : Long.parseLong(text);
   }
 }
--- a/standins/src/main/java/org/shoreroad/standins/WeightStoreServer.java
+++ b/standins/src/main/java/org/shoreroad/standins/WeightStoreServer.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The weight store: {@code GET /weights/MODEL/VERSION} takes a place in its rate limit and tells
- * how long the transfer takes.
+ * The weight store with a rate limit: {@code GET /weights/MODEL/VERSION} counts against the limit
+ * and returns the duration of the transfer, or status 429 above the limit. Thread-safe.
  */
 public final class WeightStoreServer implements AutoCloseable {
   private static final int WORKERS = 16;
@@ -13,20 +13,20 @@
 
   private final StandInServer server;
   private final int maxPerSecond;
-  private long secondBegunNanos = System.nanoTime();
-  private int takenInSecond;
+  private long windowStartNanos = System.nanoTime();
+  private int requestsInWindow;
 
   private WeightStoreServer(int port, int maxPerSecond) {
     this.maxPerSecond = maxPerSecond;
     this.server = StandInServer.start(port, WORKERS, this::handle);
   }
 
-  /** Starts the store. */
+  /** Starts the store, with a limit on the requests in each second. */
   public static WeightStoreServer start(int port, int maxPerSecond) {
     return new WeightStoreServer(port, maxPerSecond);
   }
 
-  /** Returns its URL. */
+  /** Returns the URL of the store. */
   public String url() {
     return "http://" + server.address();
   }
@@ -37,20 +37,20 @@
   }
 
   private void handle(HttpServerExchange exchange) throws Exception {
-    if (tryTake()) {
+    if (tryAcquire()) {
       StandInServer.sendJson(exchange, 200, Map.of("transfer_ms", 0));
     } else {
       StandInServer.sendStatus(exchange, TOO_MANY);
     }
   }
 
-  private synchronized boolean tryTake() {
+  private synchronized boolean tryAcquire() {
     long now = System.nanoTime();
-    if (now - secondBegunNanos >= 1_000_000_000L) {
-      secondBegunNanos = now;
-      takenInSecond = 0;
+    if (now - windowStartNanos >= 1_000_000_000L) {
+      windowStartNanos = now;
+      requestsInWindow = 0;
     }
-    takenInSecond++;
-    return takenInSecond <= maxPerSecond;
+    requestsInWindow++;
+    return requestsInWindow <= maxPerSecond;
   }
 }
--- a/standins/src/main/java/org/shoreroad/standins/package-info.java
+++ b/standins/src/main/java/org/shoreroad/standins/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Small stand-ins for what surrounds the system: the platform's log and list of boxes, the weight
- * store, the model engines and a plain service. Used by tests and the demonstration; not shipped.
+ * Stand-ins for the system's dependencies: the platform's log and list of boxes, the weight store,
+ * the model engines and a plain service. Used by tests and the demonstration; not shipped.
  *
- * <p>Each can be told, over HTTP under {@code /control/}, to fail in the ways the real thing may.
+ * <p>Faults of the real dependencies are injected over HTTP under {@code /control/}.
  */
 @NullMarked
 package org.shoreroad.standins;
