--- a/standins/src/main/java/org/shoreroad/standins/EngineEvent.java
+++ b/standins/src/main/java/org/shoreroad/standins/EngineEvent.java
@@ -5,8 +5,8 @@
  *
  * @param atNanos the time of the event, by the monotonic clock of the stand-in's process
  * @param box the box
- * @param kind what: load, unload, refused, start, token, end, cancelled
- * @param name the load name, for all but cancelled
+ * @param kind the kind of event: load, unload, refused, start, end, failed, kill or boot
+ * @param name the load name, or an empty text for kill and boot
  * @param requestId the request, or an empty text
  * @param prompt the text of the request that was started, or an empty text
  */
