--- a/daemon/src/main/java/org/shoreroad/daemon/control/CheckpointService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/CheckpointService.java
@@ -4,7 +4,7 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 import org.jboss.logging.Logger;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.metrics.Metrics;
@@ -38,7 +38,7 @@
   private final PlatformLog log;
   private final Metrics metrics;
   private final Settings settings;
-  private final Duty duty = new Duty(NAME, this::tick);
+  private final EventLoop duty = new EventLoop(NAME, this::tick);
   private long coveredOffset = -1;
   private long appendedNanos;
   private boolean isCoveredKnown;
--- a/daemon/src/main/java/org/shoreroad/daemon/control/ControlAppender.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/ControlAppender.java
@@ -12,7 +12,7 @@
 import org.shoreroad.ErrorCode;
 import org.shoreroad.ShoreroadException;
 import org.shoreroad.Verdict;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.metrics.Metrics;
@@ -48,7 +48,7 @@
   private final PlatformLog log;
   private final ControlLog control;
   private final Metrics metrics;
-  private final Duty duty;
+  private final EventLoop duty;
   private final String idPrefix;
   private final Map<String, Pending> pendingById = new LinkedHashMap<>();
   private long nextId;
@@ -71,7 +71,7 @@
     this.control = control;
     this.metrics = metrics;
     this.idPrefix = settings.nodeId() + "-" + UUID.randomUUID().toString().substring(0, 8) + "-";
-    this.duty = new Duty(NAME, this::tick);
+    this.duty = new EventLoop(NAME, this::tick);
   }
 
   @Override
--- a/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import javax.inject.Inject;
 import javax.inject.Singleton;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.member.Members;
@@ -49,7 +49,7 @@
   private final BoxList boxList;
   private final Metrics metrics;
   private final Settings settings;
-  private final Duty duty = new Duty(NAME, this::tick);
+  private final EventLoop duty = new EventLoop(NAME, this::tick);
   private final Map<String, Long> deadSinceNanos = new HashMap<>();
   private CompletableFuture<?> outstanding = CompletableFuture.completedFuture(null);
   private volatile List<ListedBox> listed = List.of();
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentKeeper.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentKeeper.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import javax.inject.Inject;
 import javax.inject.Singleton;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.metrics.Metrics;
@@ -55,7 +55,7 @@
   private final PeerTransport transport;
   private final Metrics metrics;
   private final long appendNanos;
-  private final Duty duty = new Duty(NAME, this::tick);
+  private final EventLoop duty = new EventLoop(NAME, this::tick);
   private final Map<Integer, Shard> shards = new HashMap<>();
 
   private record Waiting(IntentRecord record, Consumer<ClaimResult> answer) {}
--- a/daemon/src/main/java/org/shoreroad/daemon/kernel/Duty.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/kernel/EventLoop.java
@@ -15,8 +15,8 @@
  *
  * @since 0.1
  */
-public final class Duty {
-  private static final Logger LOG = Logger.getLogger(Duty.class);
+public final class EventLoop {
+  private static final Logger LOG = Logger.getLogger(EventLoop.class);
   private static final int RING_SIZE = 16_384;
   private static final int BURST = 256;
   private static final long LEAST_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -36,7 +36,7 @@
    * @param tick called with the monotonic time; returns after how many milliseconds to be called
    *     again, if no task comes before
    */
-  public Duty(String name, LongUnaryOperator tick) {
+  public EventLoop(String name, LongUnaryOperator tick) {
     this.tick = tick;
     this.thread = new Thread(this::run, name);
     this.thread.setDaemon(true);
--- a/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
@@ -11,7 +11,7 @@
 import org.jboss.logging.Logger;
 import org.shoreroad.daemon.control.ControlAppender;
 import org.shoreroad.daemon.control.ControlLog;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.metrics.Metrics;
@@ -51,7 +51,7 @@
   private final ControlAppender appender;
   private final Metrics metrics;
   private final SwimMembership membership;
-  private final Duty duty = new Duty(NAME, this::tick);
+  private final EventLoop duty = new EventLoop(NAME, this::tick);
   private final List<Consumer<MembershipView>> listeners = new CopyOnWriteArrayList<>();
   private final Map<String, Node> nodeById = new HashMap<>();
   private volatile MembershipView view = MembershipView.EMPTY;
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -13,7 +13,7 @@
 import org.shoreroad.ShoreroadException;
 import org.shoreroad.Verdict;
 import org.shoreroad.config.ModelSpec;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.member.Contact;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.request.Submission;
@@ -37,7 +37,7 @@
   private final EngineClient engines;
   private final Contact contact;
   private final Metrics metrics;
-  private final Duty duty;
+  private final EventLoop duty;
   private final long probeNanos;
   private final FairQueue<PendingRequest> queue = new FairQueue<>(0);
   private final DrainRate drainRate;
@@ -52,7 +52,7 @@
       EngineClient engines,
       Contact contact,
       Metrics metrics,
-      Duty duty,
+      EventLoop duty,
       long probeNanos,
       long nowNanos) {
     this.controller = controller;
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -17,7 +17,7 @@
 import org.shoreroad.config.ModelSpec;
 import org.shoreroad.daemon.control.ControlAppender;
 import org.shoreroad.daemon.control.ControlLog;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.member.Contact;
@@ -63,7 +63,7 @@
   private final EngineClient engines;
   private final PeerTransport transport;
   private final Metrics metrics;
-  private final Duty duty = new Duty(NAME, this::tick);
+  private final EventLoop duty = new EventLoop(NAME, this::tick);
   private final Map<Long, OwnedReplica> replicas = new HashMap<>();
   private final String orderPrefix = UUID.randomUUID().toString().substring(0, 8) + "-";
   private final AtomicLong nextOrder = new AtomicLong();
