--- a/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/gateway/GatewayService.java
@@ -27,7 +27,7 @@
 import org.shoreroad.daemon.intent.IntentClient;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
-import org.shoreroad.daemon.member.Contact;
+import org.shoreroad.daemon.member.ContactPolicy;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.owner.OwnerService;
 import org.shoreroad.daemon.settings.Settings;
@@ -59,7 +59,7 @@
   private static final long LIMIT_RETRY_MS = 1_000;
 
   private final Settings settings;
-  private final Contact contact;
+  private final ContactPolicy contact;
   private final Metrics metrics;
   private final GatewayParts parts;
   private final ServiceCaller services;
@@ -80,7 +80,7 @@
       OwnerService owner,
       OwnerLink link,
       IntentClient intents,
-      Contact contact,
+      ContactPolicy contact,
       RequestTrace trace,
       Metrics metrics) {
     this.settings = settings;
--- a/daemon/src/main/java/org/shoreroad/daemon/member/Contact.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/ContactPolicy.java
@@ -17,14 +17,14 @@
  * @since 0.1
  */
 @Singleton
-public final class Contact {
+public final class ContactPolicy {
   private final ControlLog control;
   private final Members members;
   private final long maxAgeNanos;
 
   /** Creates the rule. */
   @Inject
-  public Contact(ControlLog control, Members members, Settings settings) {
+  public ContactPolicy(ControlLog control, Members members, Settings settings) {
     this.control = control;
     this.members = members;
     this.maxAgeNanos = settings.contactNanos();
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
@@ -21,7 +21,7 @@
 import org.shoreroad.daemon.control.ControlLog;
 import org.shoreroad.daemon.control.PlannerService;
 import org.shoreroad.daemon.gateway.RequestTrace;
-import org.shoreroad.daemon.member.Contact;
+import org.shoreroad.daemon.member.ContactPolicy;
 import org.shoreroad.daemon.member.Members;
 import org.shoreroad.daemon.member.MembershipView;
 import org.shoreroad.daemon.owner.OwnerService;
@@ -50,7 +50,7 @@
   private final ControlAppender appender;
   private final PlannerService planner;
   private final Members members;
-  private final Contact contact;
+  private final ContactPolicy contact;
   private final OwnerService owner;
   private final RequestTrace trace;
 
@@ -62,7 +62,7 @@
       ControlAppender appender,
       PlannerService planner,
       Members members,
-      Contact contact,
+      ContactPolicy contact,
       OwnerService owner,
       RequestTrace trace) {
     this.settings = settings;
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
@@ -22,7 +22,7 @@
 import org.shoreroad.daemon.control.ControlLog;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
-import org.shoreroad.daemon.member.Contact;
+import org.shoreroad.daemon.member.ContactPolicy;
 import org.shoreroad.daemon.member.Members;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.settings.Settings;
@@ -52,7 +52,7 @@
   private final Metrics metrics;
   private final Members members;
   private final ControlLog control;
-  private final Contact contact;
+  private final ContactPolicy contact;
   private final OpsCalls calls;
   private final ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
   private @Nullable Undertow server;
@@ -64,7 +64,7 @@
       Metrics metrics,
       Members members,
       ControlLog control,
-      Contact contact,
+      ContactPolicy contact,
       OpsCalls calls) {
     this.settings = settings;
     this.metrics = metrics;
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -14,7 +14,7 @@
 import org.shoreroad.Verdict;
 import org.shoreroad.config.ModelSpec;
 import org.shoreroad.daemon.kernel.EventLoop;
-import org.shoreroad.daemon.member.Contact;
+import org.shoreroad.daemon.member.ContactPolicy;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.request.Submission;
 import org.shoreroad.queue.DrainRate;
@@ -35,7 +35,7 @@
 
   private final ReplicaController controller;
   private final EngineClient engines;
-  private final Contact contact;
+  private final ContactPolicy contact;
   private final Metrics metrics;
   private final EventLoop duty;
   private final long probeNanos;
@@ -50,7 +50,7 @@
   OwnedReplica(
       ReplicaController controller,
       EngineClient engines,
-      Contact contact,
+      ContactPolicy contact,
       Metrics metrics,
       EventLoop duty,
       long probeNanos,
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -20,7 +20,7 @@
 import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
-import org.shoreroad.daemon.member.Contact;
+import org.shoreroad.daemon.member.ContactPolicy;
 import org.shoreroad.daemon.member.Members;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.peer.PeerListener;
@@ -59,7 +59,7 @@
   private final ControlLog control;
   private final ControlAppender appender;
   private final Members members;
-  private final Contact contact;
+  private final ContactPolicy contact;
   private final EngineClient engines;
   private final PeerTransport transport;
   private final Metrics metrics;
@@ -84,7 +84,7 @@
       ControlLog control,
       ControlAppender appender,
       Members members,
-      Contact contact,
+      ContactPolicy contact,
       EngineClient engines,
       PeerTransport transport,
       Metrics metrics) {
