--- a/daemon/src/main/java/org/shoreroad/daemon/Daemon.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/Daemon.java
@@ -5,7 +5,7 @@
 import org.jboss.logging.Logger;
 import org.shoreroad.daemon.gateway.GatewayService;
 import org.shoreroad.daemon.kernel.Kernel;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.ops.OpsService;
 import org.shoreroad.daemon.owner.OwnerService;
 import org.shoreroad.daemon.settings.Settings;
@@ -59,7 +59,7 @@
    */
   public void drainAndStop() {
     LOG.infof("SR-0011 process %s is stopping", settings.nodeId());
-    final Members members = kernel.find(Members.NAME, Members.class);
+    final MembershipService members = kernel.find(MembershipService.NAME, MembershipService.class);
     members.leave();
     final OwnerService owner = kernel.find(OwnerService.NAME, OwnerService.class);
     final GatewayService gateway = kernel.find(GatewayService.NAME, GatewayService.class);
@@ -70,7 +70,7 @@
     while (isBusy(owner, gateway) && System.nanoTime() - endNanos < 0) {
       sleep(POLL_MS);
     }
-    members.resign();
+    members.appendNodeLeft();
     sleep(RESIGN_MS);
     kernel.stop();
     LOG.infof("SR-0012 process %s has stopped", settings.nodeId());
--- a/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
@@ -13,7 +13,7 @@
 import org.shoreroad.daemon.intent.IntentClient;
 import org.shoreroad.daemon.intent.IntentKeeper;
 import org.shoreroad.daemon.kernel.Kernel;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.ops.OpsService;
 import org.shoreroad.daemon.owner.OwnerService;
@@ -54,7 +54,7 @@
       Metrics metrics,
       PeerTransport transport,
       ControlAppender appender,
-      Members members,
+      MembershipService members,
       OwnerService owner,
       OwnerLink link,
       IntentKeeper keeper,
--- a/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
@@ -11,7 +11,7 @@
 import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.member.MembershipView;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.platform.BoxList;
@@ -45,7 +45,7 @@
 
   private final ControlLog control;
   private final ControlAppender appender;
-  private final Members members;
+  private final MembershipService members;
   private final BoxList boxList;
   private final Metrics metrics;
   private final Settings settings;
@@ -59,7 +59,7 @@
   public PlannerService(
       ControlLog control,
       ControlAppender appender,
-      Members members,
+      MembershipService members,
       BoxList boxList,
       Metrics metrics,
       Settings settings) {
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
@@ -11,7 +11,7 @@
 import javax.inject.Singleton;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.peer.ClaimResult;
 import org.shoreroad.daemon.peer.PeerListener;
@@ -41,7 +41,7 @@
   private static final long END_RETRY_MS = 500;
 
   private final IntentKeeper keeper;
-  private final Members members;
+  private final MembershipService members;
   private final PeerTransport transport;
   private final Metrics metrics;
   private final String selfId;
@@ -62,7 +62,7 @@
   @Inject
   public IntentClient(
       IntentKeeper keeper,
-      Members members,
+      MembershipService members,
       PeerTransport transport,
       Metrics metrics,
       Settings settings) {
--- a/daemon/src/main/java/org/shoreroad/daemon/member/ContactPolicy.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/ContactPolicy.java
@@ -19,12 +19,12 @@
 @Singleton
 public final class ContactPolicy {
   private final ControlLog control;
-  private final Members members;
+  private final MembershipService members;
   private final long maxAgeNanos;
 
   /** Creates the rule. */
   @Inject
-  public ContactPolicy(ControlLog control, Members members, Settings settings) {
+  public ContactPolicy(ControlLog control, MembershipService members, Settings settings) {
     this.control = control;
     this.members = members;
     this.maxAgeNanos = settings.contactNanos();
--- a/daemon/src/main/java/org/shoreroad/daemon/member/Members.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
@@ -35,11 +35,11 @@
  * @since 0.1
  */
 @Singleton
-public final class Members implements Service, PeerListener {
+public final class MembershipService implements Service, PeerListener {
   /** The name of this service. */
   public static final String NAME = "members";
 
-  private static final Logger LOG = Logger.getLogger(Members.class);
+  private static final Logger LOG = Logger.getLogger(MembershipService.class);
   private static final long TICK_MS = 40;
   private static final long JOIN_RETRY_MS = 1_000;
   private static final long CATCH_UP_RETRY_MS = 200;
@@ -61,7 +61,7 @@
 
   /** Creates the service; {@link #start} starts its thread. */
   @Inject
-  public Members(
+  public MembershipService(
       Settings settings,
       PeerTransport transport,
       ControlLog control,
@@ -119,7 +119,7 @@
   }
 
   /** Asks every peer how far it is, for an operator who waits. */
-  public void refresh() {
+  public void pingAll() {
     duty.tryPost(() -> sendAll(membership.pingAll(System.nanoTime())));
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** Tells the log that this process is gone; to be called when nothing runs here any more. */
-  public void resign() {
+  public void appendNodeLeft() {
     ClusterState.JoinedNode joined = control.state().nodes().get(settings.nodeId());
     if (joined != null) {
       appender.append(
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
@@ -22,7 +22,7 @@
 import org.shoreroad.daemon.control.PlannerService;
 import org.shoreroad.daemon.gateway.RequestTrace;
 import org.shoreroad.daemon.member.ContactPolicy;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.member.MembershipView;
 import org.shoreroad.daemon.owner.OwnerService;
 import org.shoreroad.daemon.owner.OwnerSnapshot;
@@ -49,7 +49,7 @@
   private final ControlLog control;
   private final ControlAppender appender;
   private final PlannerService planner;
-  private final Members members;
+  private final MembershipService members;
   private final ContactPolicy contact;
   private final OwnerService owner;
   private final RequestTrace trace;
@@ -61,7 +61,7 @@
       ControlLog control,
       ControlAppender appender,
       PlannerService planner,
-      Members members,
+      MembershipService members,
       ContactPolicy contact,
       OwnerService owner,
       RequestTrace trace) {
@@ -263,7 +263,7 @@
 
   /** Tells which working processes have not yet applied a version. */
   private Map<String, Object> inForce(long version) {
-    members.refresh();
+    members.pingAll();
     MembershipView view = members.view();
     List<String> behind = new ArrayList<>();
     for (Node node : view.workingNodes()) {
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
@@ -23,7 +23,7 @@
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.member.ContactPolicy;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.settings.Settings;
 
@@ -50,7 +50,7 @@
 
   private final Settings settings;
   private final Metrics metrics;
-  private final Members members;
+  private final MembershipService members;
   private final ControlLog control;
   private final ContactPolicy contact;
   private final OpsCalls calls;
@@ -62,7 +62,7 @@
   public OpsService(
       Settings settings,
       Metrics metrics,
-      Members members,
+      MembershipService members,
       ControlLog control,
       ContactPolicy contact,
       OpsCalls calls) {
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -21,7 +21,7 @@
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
 import org.shoreroad.daemon.member.ContactPolicy;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.peer.PeerListener;
 import org.shoreroad.daemon.peer.PeerMessage;
@@ -58,7 +58,7 @@
   private final Settings settings;
   private final ControlLog control;
   private final ControlAppender appender;
-  private final Members members;
+  private final MembershipService members;
   private final ContactPolicy contact;
   private final EngineClient engines;
   private final PeerTransport transport;
@@ -83,7 +83,7 @@
       Settings settings,
       ControlLog control,
       ControlAppender appender,
-      Members members,
+      MembershipService members,
       ContactPolicy contact,
       EngineClient engines,
       PeerTransport transport,
