--- a/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
@@ -11,7 +11,7 @@
 import org.shoreroad.daemon.gateway.GatewayService;
 import org.shoreroad.daemon.gateway.OwnerLink;
 import org.shoreroad.daemon.intent.IntentClient;
-import org.shoreroad.daemon.intent.IntentKeeper;
+import org.shoreroad.daemon.intent.IntentAppender;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
@@ -57,7 +57,7 @@
       MembershipService members,
       OwnerService owner,
       OwnerLink link,
-      IntentKeeper keeper,
+      IntentAppender keeper,
       IntentClient intents,
       PlannerService planner,
       CheckpointService checkpoint,
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentKeeper.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentAppender.java
@@ -37,7 +37,7 @@
  * @since 0.1
  */
 @Singleton
-public final class IntentKeeper implements Service, PeerListener {
+public final class IntentAppender implements Service, PeerListener {
   /** The name of this service. */
   public static final String NAME = "intent-keeper";
 
@@ -70,7 +70,7 @@
 
   /** Creates the keeper; {@link #start} starts its thread. */
   @Inject
-  public IntentKeeper(
+  public IntentAppender(
       PlatformLog log, PeerTransport transport, Metrics metrics, Settings settings) {
     this.log = log;
     this.link = transport;
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
@@ -40,7 +40,7 @@
   private static final int END_TRIES = 5;
   private static final long END_RETRY_MS = 500;
 
-  private final IntentKeeper keeper;
+  private final IntentAppender keeper;
   private final MembershipService members;
   private final PeerTransport transport;
   private final Metrics metrics;
@@ -61,7 +61,7 @@
   /** Creates the client. */
   @Inject
   public IntentClient(
-      IntentKeeper keeper,
+      IntentAppender keeper,
       MembershipService members,
       PeerTransport transport,
       Metrics metrics,
