--- a/daemon/src/main/java/org/shoreroad/daemon/member/ContactPolicy.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/ContactPolicy.java
@@ -54,8 +54,8 @@
       return control.contactNanos() + maxAgeNanos;
     }
     MembershipView view = members.view();
-    boolean isBehind = view.highestHeardOffset() > control.state().appliedOffset();
-    return view.hasContact() && view.isMajority() && !isBehind
+    boolean isBehind = view.highestPeerOffset() > control.state().appliedOffset();
+    return view.hasContact() && view.isMajorityAlive() && !isBehind
         ? view.contactNanos() + maxAgeNanos
         : nowNanos;
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/member/MembershipView.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/MembershipView.java
@@ -12,22 +12,22 @@
  * <p>This class is immutable and thread-safe.
  *
  * @param statusById what is believed of each process
- * @param appliedById how far each peer said it has applied the control stream
+ * @param appliedOffsetById how far each peer said it has applied the control stream
  * @param workingNodes the processes that take on new work, the own one among them
- * @param isMajority whether more than half of all processes were believed alive
+ * @param isMajorityAlive whether more than half of all processes were believed alive
  * @param contactNanos when the last answered heartbeat was sent, on the monotonic clock
  * @param hasContact whether any heartbeat was answered
- * @param highestHeardOffset the greatest applied offset that a peer told of
+ * @param highestPeerOffset the greatest applied offset that a peer told of
  * @since 0.1
  */
 public record MembershipView(
     Map<String, PeerStatus> statusById,
-    Map<String, Long> appliedById,
+    Map<String, Long> appliedOffsetById,
     List<Node> workingNodes,
-    boolean isMajority,
+    boolean isMajorityAlive,
     long contactNanos,
     boolean hasContact,
-    long highestHeardOffset) {
+    long highestPeerOffset) {
   /** The view before anything is known. */
   public static final MembershipView EMPTY =
       new MembershipView(Map.of(), Map.of(), List.of(), false, 0, false, -1);
@@ -35,7 +35,7 @@
   /** Copies the collections. */
   public MembershipView {
     statusById = Map.copyOf(statusById);
-    appliedById = Map.copyOf(appliedById);
+    appliedOffsetById = Map.copyOf(appliedOffsetById);
     workingNodes = List.copyOf(workingNodes);
   }
 
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
@@ -130,7 +130,7 @@
       row.put("status", isSelf ? "SELF" : view.statusOf(node.id()).name());
       row.put(
           "applied_offset",
-          isSelf ? state.appliedOffset() : view.appliedById().getOrDefault(node.id(), -1L));
+          isSelf ? state.appliedOffset() : view.appliedOffsetById().getOrDefault(node.id(), -1L));
       nodes.add(row);
     }
     answer.put("nodes", nodes);
@@ -270,7 +270,7 @@
       long applied =
           node.id().equals(settings.nodeId())
               ? control.state().appliedOffset()
-              : view.appliedById().getOrDefault(node.id(), -1L);
+              : view.appliedOffsetById().getOrDefault(node.id(), -1L);
       if (applied < version) {
         behind.add(node.id());
       }
