--- a/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
@@ -105,7 +105,7 @@
 
   private void send(int from, List<SwimMembership.Outgoing> outgoing) {
     for (SwimMembership.Outgoing message : outgoing) {
-      PeerMessage.Beat beat = new PeerMessage.Beat(message.message());
+      PeerMessage.Membership beat = new PeerMessage.Membership(message.message());
       bytes += FRAME_BYTES + TCP_BYTES + PeerCodec.toBytes(beat).length;
       int to = Integer.parseInt(message.nodeId().substring("n-0123abcd".length()));
       inFlight.add(new Message(from, to, message.message()));
--- a/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
@@ -140,12 +140,12 @@
 
   @Override
   public void onMessage(Node from, PeerMessage message) {
-    if (message instanceof PeerMessage.Beat beat) {
+    if (message instanceof PeerMessage.Membership beat) {
       duty.tryPost(
           () -> {
             nodeById.putIfAbsent(from.id(), from);
             long now = System.nanoTime();
-            sendAll(membership.receive(from.id(), beat.heartbeat(), now));
+            sendAll(membership.receive(from.id(), beat.message(), now));
           });
     } else if (message instanceof PeerMessage.CatchUpAsk ask) {
       ClusterState state = control.state();
@@ -178,7 +178,7 @@
     for (SwimMembership.Outgoing message : messages) {
       Node to = nodeById.get(message.nodeId());
       if (to != null) {
-        transport.send(to, new PeerMessage.Beat(message.message()), IGNORE);
+        transport.send(to, new PeerMessage.Membership(message.message()), IGNORE);
       }
     }
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
@@ -53,9 +53,9 @@
     if (message instanceof PeerMessage.Chunk chunk) {
       out.packInt(CHUNK).packString(chunk.requestId()).packLong(chunk.sequence());
       packBytes(out, chunk.bytes());
-    } else if (message instanceof PeerMessage.Beat beat) {
+    } else if (message instanceof PeerMessage.Membership beat) {
       out.packInt(BEAT);
-      packHeartbeat(out, beat.heartbeat());
+      packHeartbeat(out, beat.message());
     } else if (message instanceof PeerMessage.Submit submit) {
       out.packInt(SUBMIT);
       packSubmission(out, submit.submission());
@@ -98,7 +98,7 @@
             new PeerMessage.Hello(
                 new Node(in.unpackString(), in.unpackString(), in.unpackString()),
                 in.unpackString());
-        case BEAT -> new PeerMessage.Beat(unpackHeartbeat(in));
+        case BEAT -> new PeerMessage.Membership(unpackHeartbeat(in));
         case SUBMIT -> new PeerMessage.Submit(unpackSubmission(in));
         case CANCEL -> new PeerMessage.Cancel(in.unpackString());
         case CHUNK -> new PeerMessage.Chunk(in.unpackString(), in.unpackLong(), unpackBytes(in));
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
@@ -27,9 +27,9 @@
   /**
    * A heartbeat.
    *
-   * @param heartbeat the heartbeat
+   * @param message the heartbeat
    */
-  record Beat(MembershipMessage heartbeat) implements PeerMessage {}
+  record Membership(MembershipMessage message) implements PeerMessage {}
 
   /**
    * Gateway to owner: a request.
--- a/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
@@ -142,7 +142,7 @@
     List<PeerMessage> messages =
         List.of(
             new PeerMessage.Hello(new Node("n", "h:1", "z"), "t"),
-            new PeerMessage.Beat(beat),
+            new PeerMessage.Membership(beat),
             new PeerMessage.Cancel("r"),
             new PeerMessage.Ended("r"),
             new PeerMessage.Failed("r", ErrorCode.QUEUE_FULL, Verdict.NOT_RUN, "m", 5),
