--- a/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
@@ -147,7 +147,7 @@
             long now = System.nanoTime();
             sendAll(membership.receive(from.id(), beat.message(), now));
           });
-    } else if (message instanceof PeerMessage.CatchUpAsk ask) {
+    } else if (message instanceof PeerMessage.CatchUpRequest ask) {
       ClusterState state = control.state();
       if (state.appliedOffset() > ask.appliedOffset()) {
         byte[] checkpoint = CheckpointCodec.toBytes(state);
@@ -245,7 +245,7 @@
     catchUpAskedNanos = nowNanos;
     for (Node node : view.workingNodes()) {
       if (!node.id().equals(settings.nodeId())) {
-        transport.send(node, new PeerMessage.CatchUpAsk(control.state().appliedOffset()), IGNORE);
+        transport.send(node, new PeerMessage.CatchUpRequest(control.state().appliedOffset()), IGNORE);
       }
     }
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
@@ -70,7 +70,7 @@
     } else if (message instanceof PeerMessage.Hello hello) {
       out.packInt(HELLO).packString(hello.node().id()).packString(hello.node().peerAddress());
       out.packString(hello.node().availabilityZone()).packString(hello.token());
-    } else if (message instanceof PeerMessage.CatchUpAsk ask) {
+    } else if (message instanceof PeerMessage.CatchUpRequest ask) {
       out.packInt(CATCH_UP_ASK).packLong(ask.appliedOffset());
     } else if (message instanceof PeerMessage.CatchUpState state) {
       out.packInt(CATCH_UP_STATE);
@@ -110,7 +110,7 @@
                 Verdict.parse(in.unpackString()),
                 in.unpackString(),
                 in.unpackLong());
-        case CATCH_UP_ASK -> new PeerMessage.CatchUpAsk(in.unpackLong());
+        case CATCH_UP_ASK -> new PeerMessage.CatchUpRequest(in.unpackLong());
         case CATCH_UP_STATE -> new PeerMessage.CatchUpState(unpackBytes(in));
         case CLAIM_ASK ->
             new PeerMessage.ClaimAsk(
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
@@ -94,7 +94,7 @@
    *
    * @param appliedOffset how far the asker is
    */
-  record CatchUpAsk(long appliedOffset) implements PeerMessage {}
+  record CatchUpRequest(long appliedOffset) implements PeerMessage {}
 
   /**
    * The applied state of a process that is ahead.
--- a/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
@@ -87,23 +87,23 @@
   @Test
   void testSend_inOrder() throws Exception {
     for (int i = 0; i < 1_000; i++) {
-      a.send(b.self(), new PeerMessage.CatchUpAsk(i), () -> lost.add("not sent"));
+      a.send(b.self(), new PeerMessage.CatchUpRequest(i), () -> lost.add("not sent"));
     }
     for (int i = 0; i < 1_000; i++) {
-      assertThat(received.poll(10, TimeUnit.SECONDS), is(new PeerMessage.CatchUpAsk(i)));
+      assertThat(received.poll(10, TimeUnit.SECONDS), is(new PeerMessage.CatchUpRequest(i)));
     }
   }
 
   @Test
   void testSend_nobodyThereIsNotSent() throws Exception {
     CountDownLatch notSent = new CountDownLatch(1);
-    a.send(new Node("c", "127.0.0.1:1", "z"), new PeerMessage.CatchUpAsk(1), notSent::countDown);
+    a.send(new Node("c", "127.0.0.1:1", "z"), new PeerMessage.CatchUpRequest(1), notSent::countDown);
     assertThat(notSent.await(10, TimeUnit.SECONDS), is(true));
   }
 
   @Test
   void testDrop_isReportedAtTheOtherEnd() throws Exception {
-    a.send(b.self(), new PeerMessage.CatchUpAsk(1), () -> {});
+    a.send(b.self(), new PeerMessage.CatchUpRequest(1), () -> {});
     received.poll(10, TimeUnit.SECONDS);
     a.drop("b");
     assertThat(lost.poll(10, TimeUnit.SECONDS), is("a"));
@@ -125,7 +125,7 @@
       }
     }
     PeerTransport wrong = start("w", "wrong");
-    wrong.send(b.self(), new PeerMessage.CatchUpAsk(7), () -> {});
+    wrong.send(b.self(), new PeerMessage.CatchUpRequest(7), () -> {});
     assertThat(received.poll(300, TimeUnit.MILLISECONDS) == null, is(true));
     wrong.stop();
     assertThat(
@@ -146,7 +146,7 @@
             new PeerMessage.Cancel("r"),
             new PeerMessage.Ended("r"),
             new PeerMessage.Failed("r", ErrorCode.QUEUE_FULL, Verdict.NOT_RUN, "m", 5),
-            new PeerMessage.CatchUpAsk(3),
+            new PeerMessage.CatchUpRequest(3),
             new PeerMessage.ClaimAsk(1, 2, intent),
             new PeerMessage.ClaimAnswer(1, ClaimResult.LOST_FINISHED));
     for (PeerMessage message : messages) {
