--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentAppender.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentAppender.java
@@ -111,11 +111,11 @@
 
   @Override
   public void onMessage(Node from, PeerMessage message) {
-    if (message instanceof PeerMessage.ClaimAsk ask) {
+    if (message instanceof PeerMessage.ClaimRequest ask) {
       claim(
           ask.shard(),
           ask.record(),
-          result -> link.send(from, new PeerMessage.ClaimAnswer(ask.callId(), result), IGNORE));
+          result -> link.send(from, new PeerMessage.ClaimResponse(ask.callId(), result), IGNORE));
     }
   }
 
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
@@ -139,14 +139,14 @@
     answer.whenComplete((result, error) -> open.remove(callId));
     transport.send(
         keeperNode.get(),
-        new PeerMessage.ClaimAsk(callId, shard, record),
+        new PeerMessage.ClaimRequest(callId, shard, record),
         () -> answer.complete(ClaimResult.UNAVAILABLE));
     return answer;
   }
 
   @Override
   public void onMessage(Node from, PeerMessage message) {
-    if (message instanceof PeerMessage.ClaimAnswer claimAnswer) {
+    if (message instanceof PeerMessage.ClaimResponse claimAnswer) {
       CompletableFuture<ClaimResult> answer = open.get(claimAnswer.callId());
       if (answer != null) {
         answer.complete(claimAnswer.result());
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
@@ -75,10 +75,10 @@
     } else if (message instanceof PeerMessage.CatchUpState state) {
       out.packInt(CATCH_UP_STATE);
       packBytes(out, state.checkpoint());
-    } else if (message instanceof PeerMessage.ClaimAsk ask) {
+    } else if (message instanceof PeerMessage.ClaimRequest ask) {
       out.packInt(CLAIM_ASK).packLong(ask.callId()).packInt(ask.shard());
       packBytes(out, ask.record().toBytes());
-    } else if (message instanceof PeerMessage.ClaimAnswer answer) {
+    } else if (message instanceof PeerMessage.ClaimResponse answer) {
       out.packInt(CLAIM_ANSWER).packLong(answer.callId()).packString(answer.result().name());
     }
   }
@@ -113,10 +113,10 @@
         case CATCH_UP_ASK -> new PeerMessage.CatchUpRequest(in.unpackLong());
         case CATCH_UP_STATE -> new PeerMessage.CatchUpState(unpackBytes(in));
         case CLAIM_ASK ->
-            new PeerMessage.ClaimAsk(
+            new PeerMessage.ClaimRequest(
                 in.unpackLong(), in.unpackInt(), IntentRecord.fromBytes(unpackBytes(in)));
         case CLAIM_ANSWER ->
-            new PeerMessage.ClaimAnswer(in.unpackLong(), ClaimResult.valueOf(in.unpackString()));
+            new PeerMessage.ClaimResponse(in.unpackLong(), ClaimResult.valueOf(in.unpackString()));
         default -> throw new IllegalArgumentException("no such type of message: " + type);
       };
     } catch (IOException | MessagePackException e) {
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
@@ -110,7 +110,7 @@
    * @param shard the intent stream
    * @param record the intent
    */
-  record ClaimAsk(long callId, int shard, IntentRecord record) implements PeerMessage {}
+  record ClaimRequest(long callId, int shard, IntentRecord record) implements PeerMessage {}
 
   /**
    * Keeper to gateway: who won.
@@ -118,5 +118,5 @@
    * @param callId the claim's number
    * @param result what became of it
    */
-  record ClaimAnswer(long callId, ClaimResult result) implements PeerMessage {}
+  record ClaimResponse(long callId, ClaimResult result) implements PeerMessage {}
 }
--- a/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
@@ -147,8 +147,8 @@
             new PeerMessage.Ended("r"),
             new PeerMessage.Failed("r", ErrorCode.QUEUE_FULL, Verdict.NOT_RUN, "m", 5),
             new PeerMessage.CatchUpRequest(3),
-            new PeerMessage.ClaimAsk(1, 2, intent),
-            new PeerMessage.ClaimAnswer(1, ClaimResult.LOST_FINISHED));
+            new PeerMessage.ClaimRequest(1, 2, intent),
+            new PeerMessage.ClaimResponse(1, ClaimResult.LOST_FINISHED));
     for (PeerMessage message : messages) {
       assertThat(PeerCodec.fromBytes(PeerCodec.toBytes(message)), is(message));
     }
