--- a/daemon/src/main/java/org/shoreroad/daemon/control/CheckpointService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/CheckpointService.java
@@ -16,12 +16,12 @@
 import org.shoreroad.state.ClusterState;
 
 /**
- * Appends a checkpoint of the control state every so many records and every so often, on the
- * process that plans.
+ * Appends checkpoints of the control state, on the process that runs the planner.
  *
- * <p>The log keeps records, and checkpoints too, for a limited time; so one is due after {@code
- * --checkpoint-ms} even if nothing has changed. Two processes may both append one; the later is as
- * good as the earlier. Thread-safe.
+ * <p>A checkpoint is due after {@code --checkpoint-records} records, and after {@code
+ * --checkpoint-ms} even if nothing has changed, because the log retains records and checkpoints for
+ * a limited time only. Two processes may both append a checkpoint; either one is valid.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -38,10 +38,10 @@
   private final PlatformLog log;
   private final Metrics metrics;
   private final Settings settings;
-  private final EventLoop duty = new EventLoop(NAME, this::tick);
+  private final EventLoop eventLoop = new EventLoop(NAME, this::tick);
   private long coveredOffset = -1;
   private long appendedNanos;
-  private boolean isCoveredKnown;
+  private boolean isCoveredOffsetKnown;
 
   /** Creates the service; {@link #start} starts its thread. */
   @Inject
@@ -65,12 +65,12 @@
 
   @Override
   public void start(Kernel kernel) {
-    duty.start();
+    eventLoop.start();
   }
 
   @Override
   public void stop() {
-    duty.stop();
+    eventLoop.stop();
   }
 
   private long tick(long nowNanos) {
@@ -81,26 +81,26 @@
   private void appendIfDue(long nowNanos) {
     ClusterState state = control.state();
     if (!control.isJoined() || !planner.isPlanner()) {
-      isCoveredKnown = false;
+      isCoveredOffsetKnown = false;
       return;
     }
     try {
-      if (!isCoveredKnown) {
+      if (!isCoveredOffsetKnown) {
         coveredOffset = readCoveredOffset();
         appendedNanos = nowNanos;
-        isCoveredKnown = true;
+        isCoveredOffsetKnown = true;
       }
-      boolean isOld = nowNanos - appendedNanos >= settings.checkpointNanos();
-      boolean hasMany = state.appliedOffset() - coveredOffset >= settings.checkpointRecords();
-      if (isOld || hasMany) {
+      boolean isTimeDue = nowNanos - appendedNanos >= settings.checkpointNanos();
+      boolean isCountDue = state.appliedOffset() - coveredOffset >= settings.checkpointRecords();
+      if (isTimeDue || isCountDue) {
         log.append(ControlLog.CHECKPOINT_STREAM, List.of(CheckpointCodec.toBytes(state)));
         coveredOffset = state.appliedOffset();
         appendedNanos = nowNanos;
         metrics.count("shoreroad.control.checkpoints");
-        LOG.infof("SR-0104 checkpoint at offset %d", coveredOffset);
+        LOG.infof("SR-0104 appended a checkpoint at offset %d", coveredOffset);
       }
     } catch (LogException e) {
-      isCoveredKnown = false;
+      isCoveredOffsetKnown = false;
     }
   }
 
--- a/daemon/src/main/java/org/shoreroad/daemon/control/ControlAppender.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/ControlAppender.java
@@ -25,12 +25,12 @@
 import org.shoreroad.state.RecordCodec;
 
 /**
- * Appends control records on a thread of its own, all that wait in one append, and tells what
- * became of each.
+ * Appends control records on its own thread, all pending ones in one append, and returns the
+ * outcome of each.
  *
- * <p>What became of a record is known only when it was met in the stream. An append whose answer
- * was lost is therefore not an error at first: the record is met, or it is appended again under the
- * same id, which applies to nothing if the first did take effect. Thread-safe.
+ * <p>The outcome of a record is determined only when the record is read back from the stream. So an
+ * append whose answer was lost is not an error at first: either the record is read back, or it is
+ * appended again under the same id, which has no effect if the first append succeeded. Thread-safe.
  *
  * @since 0.1
  */
@@ -42,13 +42,13 @@
   private static final long BUSY_TICK_MS = 20;
   private static final long IDLE_TICK_MS = 200;
   private static final long RETRY_MS = 300;
-  private static final long GIVE_UP_MS = 3_000;
+  private static final long APPEND_TIMEOUT_MS = 3_000;
   private static final long RETRY_AFTER_MS = 2_000;
 
   private final PlatformLog log;
   private final ControlLog control;
   private final Metrics metrics;
-  private final EventLoop duty;
+  private final EventLoop eventLoop;
   private final String idPrefix;
   private final Map<String, Pending> pendingById = new LinkedHashMap<>();
   private long nextId;
@@ -56,11 +56,12 @@
   private record Pending(
       LogRecord record,
       CompletableFuture<Outcome> outcome,
-      long askedNanos,
+      long submittedNanos,
       long appendedNanos,
       boolean isMaybeAppended) {
-    Pending withAppended(long nowNanos, boolean isMaybe) {
-      return new Pending(record, outcome, askedNanos, nowNanos, isMaybeAppended || isMaybe);
+    Pending withAppended(long nowNanos, boolean isMaybeAppendedNow) {
+      return new Pending(
+          record, outcome, submittedNanos, nowNanos, isMaybeAppended || isMaybeAppendedNow);
     }
   }
 
@@ -71,7 +72,7 @@
     this.control = control;
     this.metrics = metrics;
     this.idPrefix = settings.nodeId() + "-" + UUID.randomUUID().toString().substring(0, 8) + "-";
-    this.duty = new EventLoop(NAME, this::tick);
+    this.eventLoop = new EventLoop(NAME, this::tick);
   }
 
   @Override
@@ -81,16 +82,16 @@
 
   @Override
   public void start(Kernel kernel) {
-    control.addListener(state -> duty.tryPost(() -> settle(state)));
-    duty.start();
+    control.addListener(state -> eventLoop.tryPost(() -> completeApplied(state)));
+    eventLoop.start();
   }
 
   @Override
   public void stop() {
-    duty.stop();
+    eventLoop.stop();
   }
 
-  /** Returns a record id that no other record has. */
+  /** Returns a new unique record id. */
   public synchronized String newId() {
     return idPrefix + nextId++;
   }
@@ -99,13 +100,13 @@
    * Appends a record.
    *
    * @param record the record, not null
-   * @return completes with what became of it, or with a {@link ShoreroadException} whose verdict
-   *     says whether it may yet take effect
+   * @return a future of the record's outcome; it fails with a {@link ShoreroadException} whose
+   *     verdict tells whether the record may still take effect
    */
   public CompletableFuture<Outcome> append(LogRecord record) {
     CompletableFuture<Outcome> outcome = new CompletableFuture<>();
     boolean isPosted =
-        duty.tryPost(
+        eventLoop.tryPost(
             () -> {
               Pending pending = new Pending(record, outcome, System.nanoTime(), 0, false);
               pendingById.put(record.id(), pending);
@@ -117,7 +118,7 @@
   }
 
   private long tick(long nowNanos) {
-    giveUpLate(nowNanos);
+    failExpired(nowNanos);
     List<Pending> due = new ArrayList<>();
     for (Pending pending : pendingById.values()) {
       boolean isNew = pending.appendedNanos() == 0;
@@ -128,27 +129,27 @@
     if (!due.isEmpty()) {
       appendAll(due);
     }
-    settle(control.state());
+    completeApplied(control.state());
     return pendingById.isEmpty() ? IDLE_TICK_MS : BUSY_TICK_MS;
   }
 
   private void appendAll(List<Pending> due) {
-    boolean isMaybe = true;
+    boolean isMaybeAppendedNow = true;
     try {
       log.append(
           ControlLog.STREAM, due.stream().map(p -> RecordCodec.toBytes(p.record())).toList());
       metrics.count("shoreroad.control.appends", "result", "taken");
     } catch (LogException e) {
-      isMaybe = !e.isRefused();
+      isMaybeAppendedNow = !e.isRefused();
       metrics.count("shoreroad.control.appends", "result", e.isRefused() ? "refused" : "unknown");
     }
     long nowNanos = System.nanoTime();
     for (Pending pending : due) {
-      pendingById.put(pending.record().id(), pending.withAppended(nowNanos, isMaybe));
+      pendingById.put(pending.record().id(), pending.withAppended(nowNanos, isMaybeAppendedNow));
     }
   }
 
-  private void settle(ClusterState state) {
+  private void completeApplied(ClusterState state) {
     pendingById
         .values()
         .removeIf(
@@ -159,24 +160,28 @@
             });
   }
 
-  private void giveUpLate(long nowNanos) {
+  private void failExpired(long nowNanos) {
     pendingById
         .values()
         .removeIf(
             pending -> {
-              boolean isLate =
-                  nowNanos - pending.askedNanos() > TimeUnit.MILLISECONDS.toNanos(GIVE_UP_MS);
-              if (isLate) {
+              boolean isExpired =
+                  nowNanos - pending.submittedNanos()
+                      > TimeUnit.MILLISECONDS.toNanos(APPEND_TIMEOUT_MS);
+              if (isExpired) {
                 Verdict verdict =
                     pending.isMaybeAppended() ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
                 pending.outcome().completeExceptionally(unavailable(verdict));
               }
-              return isLate;
+              return isExpired;
             });
   }
 
   private static ShoreroadException unavailable(Verdict verdict) {
     return ShoreroadException.of(
-        ErrorCode.LOG_UNAVAILABLE, verdict, "the log did not take the record", RETRY_AFTER_MS);
+        ErrorCode.LOG_UNAVAILABLE,
+        verdict,
+        "the record was not confirmed in the log",
+        RETRY_AFTER_MS);
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/control/ControlLog.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/ControlLog.java
@@ -21,11 +21,11 @@
 import org.shoreroad.state.StateMachine;
 
 /**
- * Reads the control stream on a thread of its own and holds the applied state.
+ * Reads the control stream on its own thread and holds the applied state.
  *
- * <p>The state only ever moves to a higher offset, whether by a record, a checkpoint or a peer's
- * state. A read that ends at the head of the stream is contact with the log, counted from the
- * moment the read was begun. Thread-safe.
+ * <p>The offset of the state only increases, whether the new state comes from a record, a
+ * checkpoint or a peer. A read that reaches the head of the stream counts as contact with the log
+ * from the time at which the read started. Thread-safe.
  *
  * @since 0.1
  */
@@ -83,7 +83,10 @@
     thread.interrupt();
   }
 
-  /** Adds a listener, called with each new state on the reader's thread; it must not block. */
+  /**
+   * Adds a listener for each new state. It is called on the thread that applies the state and must
+   * not block.
+   */
   public void addListener(Consumer<ClusterState> listener) {
     listeners.add(listener);
   }
@@ -93,34 +96,34 @@
     return state.get();
   }
 
-  /** Returns true once the state has reached the head that the stream had after the start. */
+  /** Returns true once the state has reached the head of the stream, or was copied from a peer. */
   public boolean isJoined() {
     return isJoined;
   }
 
-  /** Returns true if the stream was read to its head by a read begun at most this long ago. */
+  /** Returns true if a read that reached the head of the stream started at most this long ago. */
   public boolean isInContact(long nowNanos, long maxAgeNanos) {
     return hasContact && nowNanos - contactNanos <= maxAgeNanos;
   }
 
-  /** Returns when the last read that reached the head was begun, on the monotonic clock. */
+  /** Returns the monotonic time at which the last read that reached the head started. */
   public long contactNanos() {
     return contactNanos;
   }
 
-  /** Returns true if the last read was answered. */
+  /** Returns true if the last read of the log succeeded. */
   public boolean isReachable() {
     return isReachable;
   }
 
   /**
-   * Takes over the state of a peer if it is ahead.
+   * Replaces the state by that of a peer if the peer's offset is higher.
    *
-   * @param checkpoint the peer's state
+   * @param checkpoint the peer's state, as a checkpoint
    */
   public void adopt(byte[] checkpoint) {
-    ClusterState theirs = CheckpointCodec.fromBytes(checkpoint);
-    if (advance(theirs)) {
+    ClusterState peerState = CheckpointCodec.fromBytes(checkpoint);
+    if (advance(peerState)) {
       metrics.count("shoreroad.control.catchups", "source", "peer");
       isJoined = true;
     }
@@ -136,14 +139,14 @@
         setReachable(false);
         pause();
       } catch (RuntimeException e) {
-        LOG.errorf(e, "SR-0003 defect while reading the control stream");
+        LOG.errorf(e, "SR-0003 unexpected error while reading the control stream");
         pause();
       }
     }
   }
 
   private void readOnce() {
-    long begunNanos = System.nanoTime();
+    long startedNanos = System.nanoTime();
     long from = state.get().appliedOffset() + 1;
     LogBatch batch = log.read(STREAM, Math.max(1, from), MAX_RECORDS, isJoined ? WAIT_MS : 0);
     boolean isGap = batch.earliest() > Math.max(1, from);
@@ -157,7 +160,7 @@
       apply(entry);
     }
     if (Math.max(0, state.get().appliedOffset()) >= batch.head()) {
-      contactNanos = begunNanos;
+      contactNanos = startedNanos;
       hasContact = true;
       if (!isJoined) {
         isJoined = true;
@@ -202,7 +205,7 @@
     }
   }
 
-  /** Moves to a state with a higher offset; never back. */
+  /** Replaces the state if the offset of the new one is higher. */
   private boolean advance(ClusterState next) {
     ClusterState before =
         state.getAndUpdate(now -> next.appliedOffset() > now.appliedOffset() ? next : now);
--- a/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
@@ -27,10 +27,10 @@
 import org.shoreroad.state.Outcome;
 
 /**
- * Plans on one process at a time, chosen by rendezvous hashing among those that work.
+ * Runs the planner on one process, chosen by rendezvous hashing among those that take new work.
  *
- * <p>Two planners at once do no harm: of two records that contradict each other, every process
- * rejects the later. Thread-safe.
+ * <p>Two planners at the same time are safe: of two conflicting records, every process rejects the
+ * later. Thread-safe.
  *
  * @since 0.1
  */
@@ -41,7 +41,7 @@
 
   private static final long TICK_MS = 250;
   private static final long IDLE_TICK_MS = 2_000;
-  private static final long BURY_AFTER_MS = 10_000;
+  private static final long REMOVE_DEAD_AFTER_MS = 10_000;
 
   private final ControlLog control;
   private final ControlAppender appender;
@@ -49,10 +49,10 @@
   private final BoxList boxList;
   private final Metrics metrics;
   private final Settings settings;
-  private final EventLoop duty = new EventLoop(NAME, this::tick);
+  private final EventLoop eventLoop = new EventLoop(NAME, this::tick);
   private final Map<String, Long> deadSinceNanos = new HashMap<>();
   private CompletableFuture<?> outstanding = CompletableFuture.completedFuture(null);
-  private volatile List<ListedBox> listed = List.of();
+  private volatile List<ListedBox> listedBoxes = List.of();
 
   /** Creates the planner; {@link #start} starts its thread. */
   @Inject
@@ -78,23 +78,23 @@
 
   @Override
   public void start(Kernel kernel) {
-    metrics.gauge("shoreroad.planner.boxes.listed", () -> listed.size());
+    metrics.gauge("shoreroad.planner.boxes.listed", () -> listedBoxes.size());
     metrics.gauge("shoreroad.planner.boxes.free", this::countFree);
     metrics.gauge("shoreroad.planner.models.lacking", this::countLacking);
-    duty.start();
+    eventLoop.start();
   }
 
   @Override
   public void stop() {
-    duty.stop();
+    eventLoop.stop();
   }
 
-  /** Returns the list of boxes as last read by this process. */
+  /** Returns the boxes that this process last read from the platform's list. */
   public List<ListedBox> listedBoxes() {
-    return listed;
+    return listedBoxes;
   }
 
-  /** Returns true if this process plans at present. */
+  /** Returns true if this process currently runs the planner. */
   public boolean isPlanner() {
     return Rendezvous.choose(NAME, members.view().workingIds(), id -> id)
         .filter(settings.nodeId()::equals)
@@ -103,14 +103,15 @@
 
   private int countFree() {
     ClusterState state = control.state();
-    return (int) listed.stream().filter(box -> state.holderOf(box.box().name()) == null).count();
+    return (int)
+        listedBoxes.stream().filter(box -> state.holderOf(box.box().name()) == null).count();
   }
 
   private int countLacking() {
     return Planner.findLacking(control.state()).size();
   }
 
-  /** Only the process that plans needs a fresh list; the others show it to operators. */
+  /** Reads the list less often on processes that only show it to operators. */
   private long tick(long nowNanos) {
     plan(nowNanos);
     return isPlanner() ? TICK_MS : IDLE_TICK_MS;
@@ -118,7 +119,7 @@
 
   private void plan(long nowNanos) {
     try {
-      listed = boxList.read();
+      listedBoxes = boxList.read();
     } catch (LogException e) {
       metrics.count("shoreroad.planner.list.failures");
       return;
@@ -129,11 +130,11 @@
     }
     List<CompletableFuture<Outcome>> appended = new ArrayList<>();
     ClusterState state = control.state();
-    for (PlanStep step : Planner.plan(state, listed)) {
+    for (PlanStep step : Planner.plan(state, listedBoxes)) {
       appended.add(appender.append(toRecord(step)));
       metrics.count("shoreroad.planner.steps", "step", step.getClass().getSimpleName());
     }
-    for (LogRecord left : findDead(state, nowNanos)) {
+    for (LogRecord left : findDeadProcesses(state, nowNanos)) {
       appended.add(appender.append(left));
     }
     outstanding =
@@ -150,8 +151,8 @@
     return new LogRecord.ReplicaDissolved(id, dissolve.generation(), dissolve.reason());
   }
 
-  /** Returns the leavings of processes that have been dead for long. */
-  private List<LogRecord> findDead(ClusterState state, long nowNanos) {
+  /** Returns the records that remove processes dead for over {@link #REMOVE_DEAD_AFTER_MS}. */
+  private List<LogRecord> findDeadProcesses(ClusterState state, long nowNanos) {
     MembershipView view = members.view();
     List<LogRecord> left = new ArrayList<>();
     deadSinceNanos.keySet().retainAll(state.nodes().keySet());
@@ -162,7 +163,7 @@
         continue;
       }
       long since = deadSinceNanos.computeIfAbsent(id, i -> nowNanos);
-      if (nowNanos - since > TimeUnit.MILLISECONDS.toNanos(BURY_AFTER_MS)) {
+      if (nowNanos - since > TimeUnit.MILLISECONDS.toNanos(REMOVE_DEAD_AFTER_MS)) {
         left.add(new LogRecord.NodeLeft(appender.newId(), id, joined.joinedAt()));
       }
     }
--- a/daemon/src/main/java/org/shoreroad/daemon/control/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/package-info.java
@@ -1,4 +1,4 @@
-/** The control stream: reading, appending, planning. */
+/** Reads, appends to and checkpoints the control stream, and plans replicas. */
 @NullMarked
 package org.shoreroad.daemon.control;
 
