--- a/daemon/src/main/java/org/shoreroad/daemon/kernel/EventLoop.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/kernel/EventLoop.java
@@ -6,35 +6,35 @@
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 
 /**
- * One thread with one duty, which others reach through a bounded ring.
+ * A single thread that runs the tasks of a bounded queue and a periodic tick.
  *
- * <p>The thread takes tasks from the ring and calls the tick: after tasks, and when the time is
- * over that the last tick asked for. So an idle duty costs next to nothing and a busy one is
- * prompt. All state that only tasks and ticks touch needs no lock. {@link #tryPost} never blocks: a
- * full ring refuses.
+ * <p>The tick is called after tasks, at most once per millisecond, and after the delay that the
+ * last tick returned. So an idle loop costs little and a busy one reacts promptly. State that only
+ * tasks and ticks access needs no lock. {@link #tryPost} is thread-safe and never blocks; it
+ * rejects the task if the queue is full.
  *
  * @since 0.1
  */
 public final class EventLoop {
-  private static final Logger LOG = Logger.getLogger(EventLoop.class);
-  private static final int RING_SIZE = 16_384;
-  private static final int BURST = 256;
-  private static final long LEAST_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+  private static final Logger LOG = Logger.getLogger("org.shoreroad.daemon.kernel.Duty");
+  private static final int QUEUE_CAPACITY = 16_384;
+  private static final int MAX_TASKS_PER_TICK = 256;
+  private static final long MIN_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
   private static final long JOIN_MS = 2_000;
 
-  private final MpscBlockingConsumerArrayQueue<Runnable> ring =
-      new MpscBlockingConsumerArrayQueue<>(RING_SIZE);
+  private final MpscBlockingConsumerArrayQueue<Runnable> queue =
+      new MpscBlockingConsumerArrayQueue<>(QUEUE_CAPACITY);
   private final LongUnaryOperator tick;
   private final Thread thread;
   private long lastTickNanos = System.nanoTime();
   private volatile boolean isStopping;
 
   /**
-   * Creates a duty; {@link #start} starts its thread.
+   * Creates an event loop; {@link #start} starts its thread.
    *
    * @param name the thread's name
-   * @param tick called with the monotonic time; returns after how many milliseconds to be called
-   *     again, if no task comes before
+   * @param tick called with the monotonic time in nanoseconds; returns the delay in milliseconds
+   *     until its next call, if no task arrives earlier
    */
   public EventLoop(String name, LongUnaryOperator tick) {
     this.tick = tick;
@@ -47,7 +47,7 @@
     thread.start();
   }
 
-  /** Ends the thread after its current task. */
+  /** Interrupts the thread and waits up to 2 s for it to end. */
   public void stop() {
     isStopping = true;
     thread.interrupt();
@@ -59,51 +59,51 @@
   }
 
   /**
-   * Hands a task to the thread.
+   * Queues a task for the thread.
    *
    * @param task the task, not null
-   * @return false if the ring is full
+   * @return false if the queue is full
    */
   public boolean tryPost(Runnable task) {
-    return ring.offer(task);
+    return queue.offer(task);
   }
 
   private void run() {
-    long nextTick = System.nanoTime();
+    long nextTickNanos = System.nanoTime();
     while (!isStopping) {
       try {
-        nextTick = runOnce(nextTick);
+        nextTickNanos = runOnce(nextTickNanos);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
       } catch (RuntimeException e) {
-        LOG.errorf(e, "SR-0002 defect in duty %s", Thread.currentThread().getName());
+        LOG.errorf(e, "SR-0002 unexpected error in thread %s", Thread.currentThread().getName());
       }
     }
   }
 
-  private long runOnce(long nextTick) throws InterruptedException {
-    long waitNanos = nextTick - System.nanoTime();
-    Runnable task = waitNanos > 0 ? ring.poll(waitNanos, TimeUnit.NANOSECONDS) : ring.poll();
-    boolean hasWorked = task != null;
-    for (int i = 0; task != null && i < BURST; i++) {
+  private long runOnce(long nextTickNanos) throws InterruptedException {
+    long waitNanos = nextTickNanos - System.nanoTime();
+    Runnable task = waitNanos > 0 ? queue.poll(waitNanos, TimeUnit.NANOSECONDS) : queue.poll();
+    boolean hasRunTask = task != null;
+    for (int i = 0; task != null && i < MAX_TASKS_PER_TICK; i++) {
       runTask(task);
-      task = i + 1 < BURST ? ring.poll() : null;
+      task = i + 1 < MAX_TASKS_PER_TICK ? queue.poll() : null;
     }
     long now = System.nanoTime();
-    boolean isSoonEnough = now - lastTickNanos >= LEAST_TICK_NANOS;
-    if (now - nextTick >= 0 || (hasWorked && isSoonEnough)) {
+    boolean isTickAllowed = now - lastTickNanos >= MIN_TICK_NANOS;
+    if (now - nextTickNanos >= 0 || (hasRunTask && isTickAllowed)) {
       lastTickNanos = now;
       return now + TimeUnit.MILLISECONDS.toNanos(tick.applyAsLong(now));
     }
-    return hasWorked ? Math.min(nextTick, lastTickNanos + LEAST_TICK_NANOS) : nextTick;
+    return hasRunTask ? Math.min(nextTickNanos, lastTickNanos + MIN_TICK_NANOS) : nextTickNanos;
   }
 
   private static void runTask(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      LOG.errorf(e, "SR-0002 defect in duty %s", Thread.currentThread().getName());
+      LOG.errorf(e, "SR-0002 unexpected error in thread %s", Thread.currentThread().getName());
     }
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/kernel/Kernel.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/kernel/Kernel.java
@@ -9,7 +9,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Holds the services of a process by name, starts them in order and stops them in reverse.
+ * A registry of the services of a process, which starts them in order and stops them in reverse
+ * order.
  *
  * <p>Thread-safe after construction.
  *
@@ -23,8 +24,8 @@
   /**
    * Creates a kernel.
    *
-   * @param services the services in the order of their start
-   * @throws IllegalArgumentException if two have the same name
+   * @param services the services in start order
+   * @throws IllegalArgumentException if two services have the same name
    */
   public Kernel(Collection<? extends Service> services) {
     for (Service service : services) {
@@ -40,7 +41,7 @@
    * @param name the name, not null
    * @param type its type, not null
    * @return the service
-   * @throws IllegalArgumentException if there is none of this name and type
+   * @throws IllegalArgumentException if there is no service of this name and type
    */
   public <T extends Service> T find(String name, Class<T> type) {
     Service service = serviceByName.get(name);
@@ -50,7 +51,7 @@
     return type.cast(service);
   }
 
-  /** Starts all services; if one fails, those started are stopped. */
+  /** Starts all services. If one fails, stops all services and rethrows the exception. */
   public void start() {
     for (Service service : serviceByName.values()) {
       try {
@@ -62,7 +63,7 @@
     }
   }
 
-  /** Stops all services in reverse order; a failure of one does not keep the others from it. */
+  /** Stops all services in reverse order, also if one of them fails to stop. */
   public void stop() {
     List<Service> reversed = new ArrayList<>(serviceByName.values());
     Collections.reverse(reversed);
@@ -70,7 +71,7 @@
       try {
         service.stop();
       } catch (RuntimeException e) {
-        LOG.errorf(e, "SR-0001 service %s did not stop well", service.name());
+        LOG.errorf(e, "SR-0001 service %s failed to stop", service.name());
       }
     }
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/kernel/Service.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/kernel/Service.java
@@ -1,21 +1,21 @@
 package org.shoreroad.daemon.kernel;
 
 /**
- * A part of the process with a name, a start and a stop.
+ * A component of the process that the kernel starts and stops.
  *
- * <p>A service looks other services up by name in {@link #start}, which the kernel calls in the
- * order of registration; it stops them in the reverse order.
+ * <p>The kernel starts services in the order of registration and stops them in reverse order. A
+ * service can look up other services by name in {@link #start}.
  *
  * @since 0.1
  */
 public interface Service {
-  /** Returns the name by which other services find this one. */
+  /** Returns the unique name of this service, for {@link Kernel#find}. */
   String name();
 
   /**
    * Starts the service.
    *
-   * @param kernel where to find the others
+   * @param kernel the registry of all services
    * @throws org.shoreroad.ShoreroadException if it can't start
    */
   void start(Kernel kernel);
--- a/daemon/src/main/java/org/shoreroad/daemon/kernel/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/kernel/package-info.java
@@ -1,4 +1,4 @@
-/** The micro-kernel: services that find each other by name, and the threads they own. */
+/** The service registry and the event loop on which services run. */
 @NullMarked
 package org.shoreroad.daemon.kernel;
 
