--- a/daemon/src/main/java/org/shoreroad/daemon/member/ContactPolicy.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/ContactPolicy.java
@@ -6,13 +6,14 @@
 import org.shoreroad.daemon.settings.Settings;
 
 /**
- * Whether this process may act on what it has applied.
+ * Decides whether this process may serve and give orders from its applied state.
  *
- * <p>It may while it has lately read the log to its head; or, where the log is out of reach, while
- * it has lately heard from a peer, believes more than half of all processes alive, and no peer is
- * ahead of it. A process that has neither can't tell an outage from its own partition, so it stops
- * serving after {@code --contact-ms}. Every time is taken at the sending of the question, so a
- * process that was paused finds its contact gone. Thread-safe.
+ * <p>A process may serve if it has read the log to its head within {@code --contact-ms}. If the log
+ * is unreachable, it may serve if a peer has answered within that time, more than half of all
+ * processes are alive in its view, and no peer has applied a higher offset. Otherwise it can't
+ * distinguish an outage of the log from its own network partition, so it stops serving. Contact is
+ * timed from the sending of the request, so it has expired when a process resumes after a long
+ * pause. Thread-safe.
  *
  * @since 0.1
  */
@@ -22,7 +23,7 @@
   private final MembershipService members;
   private final long maxAgeNanos;
 
-  /** Creates the rule. */
+  /** Creates the policy. */
   @Inject
   public ContactPolicy(ControlLog control, MembershipService members, Settings settings) {
     this.control = control;
@@ -35,16 +36,16 @@
     return serveUntilNanos(nowNanos) - nowNanos > 0;
   }
 
-  /** Returns true if this process may order loads and propose records. */
+  /** Returns true if this process may send load orders to boxes and propose control records. */
   public boolean mayOrder(long nowNanos) {
     return control.isJoined() && control.isInContact(nowNanos, maxAgeNanos);
   }
 
   /**
-   * Returns until when this process may serve if it hears nothing more.
+   * Returns the time until which this process may serve without further contact.
    *
-   * @param nowNanos the monotonic time
-   * @return a monotonic time, not after {@code nowNanos} if it may not serve now
+   * @param nowNanos the monotonic time in nanoseconds
+   * @return a monotonic time in nanoseconds, at most {@code nowNanos} if it may not serve now
    */
   public long serveUntilNanos(long nowNanos) {
     if (!control.isJoined()) {
--- a/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
@@ -27,8 +27,8 @@
 import org.shoreroad.state.Node;
 
 /**
- * Runs the membership on a thread of its own, joins this process in the log, and catches up from a
- * peer that is ahead while the log is out of reach.
+ * Runs the membership protocol on its own thread, adds this process to the log, and catches up from
+ * peers with a higher applied offset while the log is unreachable.
  *
  * <p>Thread-safe.
  *
@@ -39,11 +39,11 @@
   /** The name of this service. */
   public static final String NAME = "members";
 
-  private static final Logger LOG = Logger.getLogger(MembershipService.class);
+  private static final Logger LOG = Logger.getLogger("org.shoreroad.daemon.member.Members");
   private static final long TICK_MS = 40;
   private static final long JOIN_RETRY_MS = 1_000;
   private static final long CATCH_UP_RETRY_MS = 200;
-  private static final Runnable IGNORE = () -> {};
+  private static final Runnable IGNORE_NOT_SENT = () -> {};
 
   private final Settings settings;
   private final PeerTransport transport;
@@ -51,13 +51,13 @@
   private final ControlAppender appender;
   private final Metrics metrics;
   private final SwimMembership membership;
-  private final EventLoop duty = new EventLoop(NAME, this::tick);
+  private final EventLoop eventLoop = new EventLoop(NAME, this::tick);
   private final List<Consumer<MembershipView>> listeners = new CopyOnWriteArrayList<>();
   private final Map<String, Node> nodeById = new HashMap<>();
   private volatile MembershipView view = MembershipView.EMPTY;
   private volatile boolean isLeaving;
-  private long joinAskedNanos;
-  private long catchUpAskedNanos;
+  private long joinSentNanos;
+  private long catchUpSentNanos;
 
   /** Creates the service; {@link #start} starts its thread. */
   @Inject
@@ -76,8 +76,8 @@
     this.membership =
         new SwimMembership(
             settings.nodeId(), settings.membershipTiming(), settings.nodeId().hashCode(), now);
-    this.joinAskedNanos = now - TimeUnit.MILLISECONDS.toNanos(JOIN_RETRY_MS);
-    this.catchUpAskedNanos = now;
+    this.joinSentNanos = now - TimeUnit.MILLISECONDS.toNanos(JOIN_RETRY_MS);
+    this.catchUpSentNanos = now;
   }
 
   @Override
@@ -87,18 +87,18 @@
 
   @Override
   public void start(Kernel kernel) {
-    control.addListener(state -> duty.tryPost(() -> setState(state)));
+    control.addListener(state -> eventLoop.tryPost(() -> setState(state)));
     metrics.gauge("shoreroad.members.known", () -> view.statusById().size());
     metrics.gauge("shoreroad.members.working", () -> view.workingNodes().size());
-    duty.start();
+    eventLoop.start();
   }
 
   @Override
   public void stop() {
-    duty.stop();
+    eventLoop.stop();
   }
 
-  /** Adds a listener, called on this service's thread when the belief changes. */
+  /** Adds a listener for changed views, called on this service's thread. */
   public void addListener(Consumer<MembershipView> listener) {
     listeners.add(listener);
   }
@@ -108,28 +108,28 @@
     return view;
   }
 
-  /** Returns true if this process stands in the log. */
+  /** Returns true if the applied state contains this process. */
   public boolean isJoined() {
     return control.state().nodes().containsKey(settings.nodeId());
   }
 
-  /** Returns true once this process is stopping. */
+  /** Returns true once {@link #leave} was called. */
   public boolean isLeaving() {
     return isLeaving;
   }
 
-  /** Asks every peer how far it is, for an operator who waits. */
+  /** Pings every peer, so that {@link #view} soon has its current applied offset. */
   public void pingAll() {
-    duty.tryPost(() -> sendAll(membership.pingAll(System.nanoTime())));
+    eventLoop.tryPost(() -> sendAll(membership.pingAll(System.nanoTime())));
   }
 
-  /** Tells the peers that this process takes on nothing new; it goes on with what it has. */
+  /** Announces to the peers that this process takes no new work; its current work continues. */
   public void leave() {
     isLeaving = true;
-    duty.tryPost(membership::leave);
+    eventLoop.tryPost(membership::leave);
   }
 
-  /** Tells the log that this process is gone; to be called when nothing runs here any more. */
+  /** Appends the record that removes this process; to be called once it has no running requests. */
   public void appendNodeLeft() {
     ClusterState.JoinedNode joined = control.state().nodes().get(settings.nodeId());
     if (joined != null) {
@@ -140,18 +140,18 @@
 
   @Override
   public void onMessage(Node from, PeerMessage message) {
-    if (message instanceof PeerMessage.Membership beat) {
-      duty.tryPost(
+    if (message instanceof PeerMessage.Membership received) {
+      eventLoop.tryPost(
           () -> {
             nodeById.putIfAbsent(from.id(), from);
             long now = System.nanoTime();
-            sendAll(membership.receive(from.id(), beat.message(), now));
+            sendAll(membership.receive(from.id(), received.message(), now));
           });
-    } else if (message instanceof PeerMessage.CatchUpRequest ask) {
+    } else if (message instanceof PeerMessage.CatchUpRequest request) {
       ClusterState state = control.state();
-      if (state.appliedOffset() > ask.appliedOffset()) {
+      if (state.appliedOffset() > request.appliedOffset()) {
         byte[] checkpoint = CheckpointCodec.toBytes(state);
-        transport.send(from, new PeerMessage.CatchUpState(checkpoint), IGNORE);
+        transport.send(from, new PeerMessage.CatchUpState(checkpoint), IGNORE_NOT_SENT);
       }
     } else if (message instanceof PeerMessage.CatchUpState state) {
       control.adopt(state.checkpoint());
@@ -178,17 +178,17 @@
     for (SwimMembership.Outgoing message : messages) {
       Node to = nodeById.get(message.nodeId());
       if (to != null) {
-        transport.send(to, new PeerMessage.Membership(message.message()), IGNORE);
+        transport.send(to, new PeerMessage.Membership(message.message()), IGNORE_NOT_SENT);
       }
     }
   }
 
   private void publish(long nowNanos) {
     Map<String, PeerStatus> statusById = new HashMap<>();
-    Map<String, Long> appliedById = new HashMap<>();
+    Map<String, Long> appliedOffsetById = new HashMap<>();
     for (String id : control.state().nodes().keySet()) {
       statusById.put(id, membership.statusOf(id));
-      appliedById.put(id, membership.appliedOffsetOf(id));
+      appliedOffsetById.put(id, membership.appliedOffsetOf(id));
     }
     List<Node> working =
         membership.workingIds().stream()
@@ -199,7 +199,7 @@
     view =
         new MembershipView(
             statusById,
-            appliedById,
+            appliedOffsetById,
             working,
             membership.isMajorityAlive(),
             membership.contactNanos(),
@@ -225,27 +225,29 @@
         });
   }
 
-  /** Joins, and joins again if others have buried this process. */
+  /** Appends the record that adds this process, again if another process has removed it. */
   private void join(long nowNanos) {
-    boolean isDue = nowNanos - joinAskedNanos >= TimeUnit.MILLISECONDS.toNanos(JOIN_RETRY_MS);
+    boolean isDue = nowNanos - joinSentNanos >= TimeUnit.MILLISECONDS.toNanos(JOIN_RETRY_MS);
     if (isDue && !isLeaving && control.isJoined() && !isJoined()) {
-      joinAskedNanos = nowNanos;
+      joinSentNanos = nowNanos;
       appender.append(new LogRecord.NodeJoined(appender.newId(), transport.self()));
     }
   }
 
-  /** Asks a random live peer for its state while peers are ahead and the log is out of reach. */
+  /**
+   * Requests the state of the working peers if one has a higher offset and the log is unreachable.
+   */
   private void catchUp(long nowNanos) {
     boolean isBehind = membership.highestPeerOffset() > control.state().appliedOffset();
-    boolean isDue =
-        nowNanos - catchUpAskedNanos >= TimeUnit.MILLISECONDS.toNanos(CATCH_UP_RETRY_MS);
+    boolean isDue = nowNanos - catchUpSentNanos >= TimeUnit.MILLISECONDS.toNanos(CATCH_UP_RETRY_MS);
     if (!isBehind || !isDue || control.isInContact(nowNanos, settings.contactNanos())) {
       return;
     }
-    catchUpAskedNanos = nowNanos;
+    catchUpSentNanos = nowNanos;
     for (Node node : view.workingNodes()) {
       if (!node.id().equals(settings.nodeId())) {
-        transport.send(node, new PeerMessage.CatchUpRequest(control.state().appliedOffset()), IGNORE);
+        transport.send(
+            node, new PeerMessage.CatchUpRequest(control.state().appliedOffset()), IGNORE_NOT_SENT);
       }
     }
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/member/MembershipView.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/MembershipView.java
@@ -7,17 +7,17 @@
 import org.shoreroad.state.Node;
 
 /**
- * What this process believed of the others at one moment.
+ * A snapshot of this process's view of the membership.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param statusById what is believed of each process
- * @param appliedOffsetById how far each peer said it has applied the control stream
- * @param workingNodes the processes that take on new work, the own one among them
- * @param isMajorityAlive whether more than half of all processes were believed alive
- * @param contactNanos when the last answered heartbeat was sent, on the monotonic clock
+ * @param statusById the status of each process
+ * @param appliedOffsetById the control stream offset that each process last reported as applied
+ * @param workingNodes the processes that take new work; may include this one
+ * @param isMajorityAlive whether more than half of all processes are alive in this view
+ * @param contactNanos the monotonic time at which the last answered heartbeat was sent
  * @param hasContact whether any heartbeat was answered
- * @param highestPeerOffset the greatest applied offset that a peer told of
+ * @param highestPeerOffset the highest applied offset that a peer has reported
  * @since 0.1
  */
 public record MembershipView(
@@ -28,7 +28,7 @@
     long contactNanos,
     boolean hasContact,
     long highestPeerOffset) {
-  /** The view before anything is known. */
+  /** The view before the first heartbeat. */
   public static final MembershipView EMPTY =
       new MembershipView(Map.of(), Map.of(), List.of(), false, 0, false, -1);
 
@@ -39,12 +39,12 @@
     workingNodes = List.copyOf(workingNodes);
   }
 
-  /** Returns what was believed of a process; one that does not exist is dead. */
+  /** Returns the status of a process; {@code DEAD} if it is not a member. */
   public PeerStatus statusOf(String nodeId) {
     return statusById.getOrDefault(nodeId, PeerStatus.DEAD);
   }
 
-  /** Returns the ids of the processes that take on new work. */
+  /** Returns the ids of the processes that take new work. */
   public Collection<String> workingIds() {
     return workingNodes.stream().map(Node::id).toList();
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/member/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/package-info.java
@@ -1,4 +1,4 @@
-/** Who lives, and whether this process is in contact. */
+/** The membership of processes, and the policy for serving without contact to the log. */
 @NullMarked
 package org.shoreroad.daemon.member;
 
