--- a/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
@@ -97,7 +97,8 @@
   @Test
   void testSend_nobodyThereIsNotSent() throws Exception {
     CountDownLatch notSent = new CountDownLatch(1);
-    a.send(new Node("c", "127.0.0.1:1", "z"), new PeerMessage.CatchUpRequest(1), notSent::countDown);
+    a.send(
+        new Node("c", "127.0.0.1:1", "z"), new PeerMessage.CatchUpRequest(1), notSent::countDown);
     assertThat(notSent.await(10, TimeUnit.SECONDS), is(true));
   }
 
