--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentAppender.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentAppender.java
@@ -28,11 +28,12 @@
 import org.shoreroad.state.Node;
 
 /**
- * Keeps intent streams: appends what gateways claim, in batches, and answers from the stream.
+ * Appends the claims of gateways to the intent streams in batches, and answers them from the
+ * streams.
  *
- * <p>An answer is given only after the stream was read through the claim's own record, so it does
- * not matter how many processes keep a stream at once. Nothing is read while nobody claims. All
- * work is done on one thread; calls are thread-safe.
+ * <p>A claim is answered only after the stream was read through the claim's own record, so several
+ * processes can append to a stream at the same time. The streams are read only when there are
+ * claims. All work is done on one thread; calls are thread-safe.
  *
  * @since 0.1
  */
@@ -41,34 +42,34 @@
   /** The name of this service. */
   public static final String NAME = "intent-keeper";
 
-  /** What the names of intent streams begin with; the shard follows. */
+  /** The prefix of the names of intent streams; the shard number follows. */
   public static final String STREAM_PREFIX = "intents-";
 
   private static final long BUSY_TICK_MS = 2;
   private static final long IDLE_TICK_MS = 200;
   private static final int MAX_RECORDS = 5_000;
-  private static final int MAX_WAITING = 10_000;
-  private static final Runnable IGNORE = () -> {};
+  private static final int MAX_PENDING_CLAIMS = 10_000;
+  private static final Runnable IGNORE_NOT_SENT = () -> {};
 
   private final PlatformLog log;
   private final PeerLink link;
   private final PeerTransport transport;
   private final Metrics metrics;
   private final long appendNanos;
-  private final EventLoop duty = new EventLoop(NAME, this::tick);
+  private final EventLoop eventLoop = new EventLoop(NAME, this::tick);
   private final Map<Integer, Shard> shards = new HashMap<>();
 
-  private record Waiting(IntentRecord record, Consumer<ClaimResult> answer) {}
+  private record PendingClaim(IntentRecord record, Consumer<ClaimResult> answer) {}
 
-  /** One stream. */
+  /** The applied state and the pending claims of one intent stream. */
   private static final class Shard {
     private final IntentTable table = new IntentTable();
-    private List<Waiting> waiting = new ArrayList<>();
+    private List<PendingClaim> pending = new ArrayList<>();
     private long appendedNanos;
     private boolean hasAppended;
   }
 
-  /** Creates the keeper; {@link #start} starts its thread. */
+  /** Creates the appender; {@link #start} starts its thread. */
   @Inject
   public IntentAppender(
       PlatformLog log, PeerTransport transport, Metrics metrics, Settings settings) {
@@ -87,23 +88,23 @@
   @Override
   public void start(Kernel kernel) {
     transport.addListener(this);
-    duty.start();
+    eventLoop.start();
   }
 
   @Override
   public void stop() {
-    duty.stop();
+    eventLoop.stop();
   }
 
   /**
-   * Appends an intent record and tells what became of it.
+   * Appends an intent record and passes the result to a consumer.
    *
-   * @param shard the stream
+   * @param shard the number of the stream
    * @param record the record
-   * @param answer takes the result, on the keeper's thread or the caller's
+   * @param answer receives the result, on this service's thread or the caller's
    */
   public void claim(int shard, IntentRecord record, Consumer<ClaimResult> answer) {
-    boolean isPosted = duty.tryPost(() -> enqueue(shard, new Waiting(record, answer)));
+    boolean isPosted = eventLoop.tryPost(() -> enqueue(shard, new PendingClaim(record, answer)));
     if (!isPosted) {
       answer.accept(ClaimResult.UNAVAILABLE);
     }
@@ -111,43 +112,45 @@
 
   @Override
   public void onMessage(Node from, PeerMessage message) {
-    if (message instanceof PeerMessage.ClaimRequest ask) {
+    if (message instanceof PeerMessage.ClaimRequest request) {
       claim(
-          ask.shard(),
-          ask.record(),
-          result -> link.send(from, new PeerMessage.ClaimResponse(ask.callId(), result), IGNORE));
+          request.shard(),
+          request.record(),
+          result ->
+              link.send(
+                  from, new PeerMessage.ClaimResponse(request.callId(), result), IGNORE_NOT_SENT));
     }
   }
 
-  private void enqueue(int number, Waiting claim) {
+  private void enqueue(int number, PendingClaim claim) {
     Shard shard = shards.computeIfAbsent(number, n -> new Shard());
-    if (shard.waiting.size() >= MAX_WAITING) {
+    if (shard.pending.size() >= MAX_PENDING_CLAIMS) {
       claim.answer().accept(ClaimResult.UNAVAILABLE);
       return;
     }
-    shard.waiting.add(claim);
+    shard.pending.add(claim);
     appendIfDue(number, shard, System.nanoTime());
   }
 
   private long tick(long nowNanos) {
     shards.forEach((number, shard) -> appendIfDue(number, shard, nowNanos));
-    boolean isBusy = shards.values().stream().anyMatch(shard -> !shard.waiting.isEmpty());
+    boolean isBusy = shards.values().stream().anyMatch(shard -> !shard.pending.isEmpty());
     return isBusy ? BUSY_TICK_MS : IDLE_TICK_MS;
   }
 
   private void appendIfDue(int number, Shard shard, long nowNanos) {
     boolean isDue = !shard.hasAppended || nowNanos - shard.appendedNanos >= appendNanos;
-    if (shard.waiting.isEmpty() || !isDue) {
+    if (shard.pending.isEmpty() || !isDue) {
       return;
     }
-    List<Waiting> batch = shard.waiting;
-    shard.waiting = new ArrayList<>();
+    List<PendingClaim> batch = shard.pending;
+    shard.pending = new ArrayList<>();
     shard.hasAppended = true;
     shard.appendedNanos = nowNanos;
     appendBatch(STREAM_PREFIX + number, shard.table, batch);
   }
 
-  private void appendBatch(String stream, IntentTable table, List<Waiting> batch) {
+  private void appendBatch(String stream, IntentTable table, List<PendingClaim> batch) {
     long lastOffset = Long.MAX_VALUE;
     try {
       long first =
@@ -163,8 +166,8 @@
     }
     boolean isRead = readThrough(stream, table, lastOffset);
     Map<ClaimResult, Integer> counts = new LinkedHashMap<>();
-    for (Waiting claim : batch) {
-      ClaimResult result = isRead ? judge(table, claim.record()) : ClaimResult.UNAVAILABLE;
+    for (PendingClaim claim : batch) {
+      ClaimResult result = isRead ? toResult(table, claim.record()) : ClaimResult.UNAVAILABLE;
       counts.merge(result, 1, Integer::sum);
       claim.answer().accept(result);
     }
@@ -172,7 +175,10 @@
         (result, count) -> metrics.add("shoreroad.intents.claims", "result", result.name(), count));
   }
 
-  /** Reads the stream through an offset, or to its head if the offset lies beyond it. */
+  /**
+   * Reads the stream through an offset, or to its head if that is lower. Returns whether the offset
+   * was reached; {@code Long.MAX_VALUE} stands for the head.
+   */
   private boolean readThrough(String stream, IntentTable table, long lastOffset) {
     try {
       while (table.appliedOffset() < lastOffset) {
@@ -203,7 +209,7 @@
     }
   }
 
-  private static ClaimResult judge(IntentTable table, IntentRecord record) {
+  private static ClaimResult toResult(IntentTable table, IntentRecord record) {
     KeyState state = table.find(record.keyHash()).orElse(null);
     if (state == null) {
       return ClaimResult.UNAVAILABLE;
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/IntentClient.java
@@ -24,10 +24,11 @@
 import org.shoreroad.state.Node;
 
 /**
- * Makes claims to the keeper of a key's stream, wherever it runs.
+ * Sends claims to the process that appends to the intent stream of the key.
  *
- * <p>A claim that gets no answer in time counts as not won; the request is then not run, and the
- * intent is withdrawn, which may take effect later than the caller is told. Thread-safe.
+ * <p>A claim without an answer within 2 s counts as unavailable: the request is not run, and the
+ * intent is withdrawn. The withdrawal may take effect after the caller has received the error.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -36,37 +37,38 @@
   /** The name of this service. */
   public static final String NAME = "intents";
 
-  private static final long ANSWER_MS = 2_000;
-  private static final int END_TRIES = 5;
+  private static final long ANSWER_TIMEOUT_MS = 2_000;
+  private static final int MAX_END_ATTEMPTS = 5;
   private static final long END_RETRY_MS = 500;
 
-  private final IntentAppender keeper;
+  private final IntentAppender localAppender;
   private final MembershipService members;
   private final PeerTransport transport;
   private final Metrics metrics;
   private final String selfId;
   private final int shards;
-  private final Map<Long, CompletableFuture<ClaimResult>> open = new ConcurrentHashMap<>();
-  private final AtomicLong nextCall = new AtomicLong();
+  private final Map<Long, CompletableFuture<ClaimResult>> pendingByCallId =
+      new ConcurrentHashMap<>();
+  private final AtomicLong lastCallId = new AtomicLong();
   private volatile boolean isStopping;
 
   /**
-   * A claim that was won.
+   * A claim of the right to run the request of a key.
    *
    * @param key the caller's key
-   * @param intentId the intent that stands for it in the log
+   * @param intentId the id of the claim's records in the log
    */
   public record Claim(RequestKey key, String intentId) {}
 
   /** Creates the client. */
   @Inject
   public IntentClient(
-      IntentAppender keeper,
+      IntentAppender localAppender,
       MembershipService members,
       PeerTransport transport,
       Metrics metrics,
       Settings settings) {
-    this.keeper = keeper;
+    this.localAppender = localAppender;
     this.members = members;
     this.transport = transport;
     this.metrics = metrics;
@@ -87,37 +89,40 @@
   @Override
   public void stop() {
     isStopping = true;
-    open.values().forEach(answer -> answer.complete(ClaimResult.UNAVAILABLE));
+    pendingByCallId.values().forEach(answer -> answer.complete(ClaimResult.UNAVAILABLE));
   }
 
-  /** Returns a claim that nobody has made yet. */
+  /** Returns a new claim; {@link #claim} sends it. */
   public Claim newClaim(RequestKey key) {
     return new Claim(key, UUID.randomUUID().toString());
   }
 
-  /** Makes a claim; completes, always normally and within bounded time, with what became of it. */
+  /** Sends a claim. The future always completes normally, within bounded time. */
   public CompletableFuture<ClaimResult> claim(Claim claim) {
     return send(claim, IntentRecord.Type.STARTING);
   }
 
-  /** Notes that a claim's request ran to its end. */
+  /** Records asynchronously, in up to 5 attempts, that a claim's request ran to its end. */
   public void finish(Claim claim) {
-    end(claim, IntentRecord.Type.FINISHED, END_TRIES);
+    end(claim, IntentRecord.Type.FINISHED, MAX_END_ATTEMPTS);
   }
 
-  /** Notes that a claim's request was not run and never will be under this claim. */
+  /**
+   * Records asynchronously, in up to 5 attempts, that a claim's request was not run and will not
+   * run under this claim.
+   */
   public void withdraw(Claim claim) {
-    end(claim, IntentRecord.Type.WITHDRAWN, END_TRIES);
+    end(claim, IntentRecord.Type.WITHDRAWN, MAX_END_ATTEMPTS);
   }
 
-  private void end(Claim claim, IntentRecord.Type type, int triesLeft) {
+  private void end(Claim claim, IntentRecord.Type type, int attemptsLeft) {
     send(claim, type)
         .thenAccept(
             result -> {
-              if (result == ClaimResult.UNAVAILABLE && triesLeft > 1 && !isStopping) {
+              if (result == ClaimResult.UNAVAILABLE && attemptsLeft > 1 && !isStopping) {
                 metrics.countRetry("intent_end");
                 CompletableFuture.delayedExecutor(END_RETRY_MS, TimeUnit.MILLISECONDS)
-                    .execute(() -> end(claim, type, triesLeft - 1));
+                    .execute(() -> end(claim, type, attemptsLeft - 1));
               }
             });
   }
@@ -127,18 +132,18 @@
     int shard = claim.key().toShard(shards);
     CompletableFuture<ClaimResult> answer =
         new CompletableFuture<ClaimResult>()
-            .completeOnTimeout(ClaimResult.UNAVAILABLE, ANSWER_MS, TimeUnit.MILLISECONDS);
-    Optional<Node> keeperNode =
+            .completeOnTimeout(ClaimResult.UNAVAILABLE, ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    Optional<Node> appenderNode =
         Rendezvous.choose("shard/" + shard, members.view().workingNodes(), Node::id);
-    if (keeperNode.isEmpty() || keeperNode.get().id().equals(selfId)) {
-      keeper.claim(shard, record, answer::complete);
+    if (appenderNode.isEmpty() || appenderNode.get().id().equals(selfId)) {
+      localAppender.claim(shard, record, answer::complete);
       return answer;
     }
-    long callId = nextCall.incrementAndGet();
-    open.put(callId, answer);
-    answer.whenComplete((result, error) -> open.remove(callId));
+    long callId = lastCallId.incrementAndGet();
+    pendingByCallId.put(callId, answer);
+    answer.whenComplete((result, error) -> pendingByCallId.remove(callId));
     transport.send(
-        keeperNode.get(),
+        appenderNode.get(),
         new PeerMessage.ClaimRequest(callId, shard, record),
         () -> answer.complete(ClaimResult.UNAVAILABLE));
     return answer;
@@ -146,10 +151,10 @@
 
   @Override
   public void onMessage(Node from, PeerMessage message) {
-    if (message instanceof PeerMessage.ClaimResponse claimAnswer) {
-      CompletableFuture<ClaimResult> answer = open.get(claimAnswer.callId());
+    if (message instanceof PeerMessage.ClaimResponse response) {
+      CompletableFuture<ClaimResult> answer = pendingByCallId.get(response.callId());
       if (answer != null) {
-        answer.complete(claimAnswer.result());
+        answer.complete(response.result());
       }
     }
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/intent/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/intent/package-info.java
@@ -1,4 +1,4 @@
-/** At most once: the keepers of the intent streams and the claims made to them. */
+/** At-most-once execution: claims on request keys, and the intent streams that record them. */
 @NullMarked
 package org.shoreroad.daemon.intent;
 
