--- a/daemon/src/main/java/org/shoreroad/daemon/peer/ClaimResult.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/ClaimResult.java
@@ -1,19 +1,19 @@
 package org.shoreroad.daemon.peer;
 
 /**
- * What became of a claim to run a request that may not be repeated.
+ * The result of a claim to run a request that must run at most once.
  *
  * <p>This enum is immutable and thread-safe.
  *
  * @since 0.1
  */
 public enum ClaimResult {
-  /** The intent is in the log and is the first: its request may be run, once. */
+  /** The intent is the first one in the log; its request may run, once. */
   WON,
-  /** Another intent was first, and its request may be running or have run. */
+  /** Another intent was first; its request may be running or may have run. */
   LOST_STARTED,
-  /** Another intent was first, and its request ran to its end. */
+  /** Another intent was first; its request ran to its end. */
   LOST_FINISHED,
-  /** The log did not take the intent in time; nobody may run it under this intent. */
+  /** The intent was not confirmed in the log in time; the request must not run under it. */
   UNAVAILABLE
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/IncomingHandler.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/IncomingHandler.java
@@ -11,10 +11,10 @@
 import org.shoreroad.state.Node;
 
 /**
- * Reads the messages of one connection that a peer opened.
+ * Reads the messages of a connection that a peer opened.
  *
- * <p>Until a hello with the right token has come, nothing else is taken: a stranger's bytes close
- * the connection and are counted. Belongs to the link's thread.
+ * <p>The first message must be a hello with the right token; anything else closes the connection
+ * and is counted. Called on the connection's event loop only.
  */
 final class IncomingHandler extends SimpleChannelInboundHandler<ByteBuf> {
   private final String token;
@@ -41,9 +41,9 @@
       refuse(context, "malformed");
       return;
     }
-    Node known = peer;
-    if (known != null) {
-      transport.report(known, message);
+    Node identified = peer;
+    if (identified != null) {
+      transport.report(identified, message);
     } else if (message instanceof PeerMessage.Hello hello && isToken(hello.token())) {
       peer = hello.node();
     } else {
@@ -53,9 +53,9 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    Node known = peer;
-    if (known != null) {
-      transport.reportLost(known.id());
+    Node identified = peer;
+    if (identified != null) {
+      transport.reportLost(identified.id());
     }
   }
 
@@ -69,8 +69,8 @@
     context.close();
   }
 
-  private boolean isToken(String given) {
+  private boolean isToken(String received) {
     return MessageDigest.isEqual(
-        given.getBytes(StandardCharsets.UTF_8), token.getBytes(StandardCharsets.UTF_8));
+        received.getBytes(StandardCharsets.UTF_8), token.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/OutgoingHandler.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/OutgoingHandler.java
@@ -6,9 +6,9 @@
 import org.shoreroad.daemon.metrics.Metrics;
 
 /**
- * Watches a connection that this process opened; the peer sends nothing over it.
+ * Closes and counts a connection that this process opened, on an error or if the peer sends data.
  *
- * <p>Belongs to the link's thread.
+ * <p>Peers answer over their own connections. Called on the connection's event loop only.
  */
 final class OutgoingHandler extends ChannelInboundHandlerAdapter {
   private final Metrics metrics;
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerCodec.java
@@ -17,7 +17,7 @@
 import org.shoreroad.state.Node;
 
 /**
- * The MessagePack form of peer messages: a type number, then the fields in the order of the Java
+ * Encodes peer messages in MessagePack: a type number, then the fields in the order of the Java
  * record.
  *
  * <p>All methods are thread-safe.
@@ -26,20 +26,20 @@
  */
 public final class PeerCodec {
   private static final int HELLO = 1;
-  private static final int BEAT = 2;
+  private static final int MEMBERSHIP = 2;
   private static final int SUBMIT = 3;
   private static final int CANCEL = 4;
   private static final int CHUNK = 5;
   private static final int ENDED = 6;
   private static final int FAILED = 7;
-  private static final int CATCH_UP_ASK = 8;
+  private static final int CATCH_UP_REQUEST = 8;
   private static final int CATCH_UP_STATE = 9;
-  private static final int CLAIM_ASK = 10;
-  private static final int CLAIM_ANSWER = 11;
+  private static final int CLAIM_REQUEST = 10;
+  private static final int CLAIM_RESPONSE = 11;
 
   private PeerCodec() {}
 
-  /** Returns the bytes of the message. */
+  /** Returns the encoded message. */
   public static byte[] toBytes(PeerMessage message) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       pack(out, message);
@@ -53,9 +53,9 @@
     if (message instanceof PeerMessage.Chunk chunk) {
       out.packInt(CHUNK).packString(chunk.requestId()).packLong(chunk.sequence());
       packBytes(out, chunk.bytes());
-    } else if (message instanceof PeerMessage.Membership beat) {
-      out.packInt(BEAT);
-      packHeartbeat(out, beat.message());
+    } else if (message instanceof PeerMessage.Membership membership) {
+      out.packInt(MEMBERSHIP);
+      packMembership(out, membership.message());
     } else if (message instanceof PeerMessage.Submit submit) {
       out.packInt(SUBMIT);
       packSubmission(out, submit.submission());
@@ -70,25 +70,25 @@
     } else if (message instanceof PeerMessage.Hello hello) {
       out.packInt(HELLO).packString(hello.node().id()).packString(hello.node().peerAddress());
       out.packString(hello.node().availabilityZone()).packString(hello.token());
-    } else if (message instanceof PeerMessage.CatchUpRequest ask) {
-      out.packInt(CATCH_UP_ASK).packLong(ask.appliedOffset());
+    } else if (message instanceof PeerMessage.CatchUpRequest request) {
+      out.packInt(CATCH_UP_REQUEST).packLong(request.appliedOffset());
     } else if (message instanceof PeerMessage.CatchUpState state) {
       out.packInt(CATCH_UP_STATE);
       packBytes(out, state.checkpoint());
-    } else if (message instanceof PeerMessage.ClaimRequest ask) {
-      out.packInt(CLAIM_ASK).packLong(ask.callId()).packInt(ask.shard());
-      packBytes(out, ask.record().toBytes());
-    } else if (message instanceof PeerMessage.ClaimResponse answer) {
-      out.packInt(CLAIM_ANSWER).packLong(answer.callId()).packString(answer.result().name());
+    } else if (message instanceof PeerMessage.ClaimRequest request) {
+      out.packInt(CLAIM_REQUEST).packLong(request.callId()).packInt(request.shard());
+      packBytes(out, request.record().toBytes());
+    } else if (message instanceof PeerMessage.ClaimResponse response) {
+      out.packInt(CLAIM_RESPONSE).packLong(response.callId()).packString(response.result().name());
     }
   }
 
   /**
-   * Returns the message that the bytes hold.
+   * Decodes a message.
    *
-   * @param bytes the bytes, not null
+   * @param bytes the encoded message, not null
    * @return the message
-   * @throws IllegalArgumentException if the bytes hold no message
+   * @throws IllegalArgumentException if the bytes are not a valid message
    */
   public static PeerMessage fromBytes(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
@@ -98,7 +98,7 @@
             new PeerMessage.Hello(
                 new Node(in.unpackString(), in.unpackString(), in.unpackString()),
                 in.unpackString());
-        case BEAT -> new PeerMessage.Membership(unpackHeartbeat(in));
+        case MEMBERSHIP -> new PeerMessage.Membership(unpackMembership(in));
         case SUBMIT -> new PeerMessage.Submit(unpackSubmission(in));
         case CANCEL -> new PeerMessage.Cancel(in.unpackString());
         case CHUNK -> new PeerMessage.Chunk(in.unpackString(), in.unpackLong(), unpackBytes(in));
@@ -110,17 +110,17 @@
                 Verdict.parse(in.unpackString()),
                 in.unpackString(),
                 in.unpackLong());
-        case CATCH_UP_ASK -> new PeerMessage.CatchUpRequest(in.unpackLong());
+        case CATCH_UP_REQUEST -> new PeerMessage.CatchUpRequest(in.unpackLong());
         case CATCH_UP_STATE -> new PeerMessage.CatchUpState(unpackBytes(in));
-        case CLAIM_ASK ->
+        case CLAIM_REQUEST ->
             new PeerMessage.ClaimRequest(
                 in.unpackLong(), in.unpackInt(), IntentRecord.fromBytes(unpackBytes(in)));
-        case CLAIM_ANSWER ->
+        case CLAIM_RESPONSE ->
             new PeerMessage.ClaimResponse(in.unpackLong(), ClaimResult.valueOf(in.unpackString()));
-        default -> throw new IllegalArgumentException("no such type of message: " + type);
+        default -> throw new IllegalArgumentException("unknown message type: " + type);
       };
     } catch (IOException | MessagePackException e) {
-      throw new IllegalArgumentException("not a peer message", e);
+      throw new IllegalArgumentException("malformed peer message", e);
     }
   }
 
@@ -132,17 +132,19 @@
     return in.readPayload(in.unpackBinaryHeader());
   }
 
-  private static void packHeartbeat(MessageBufferPacker out, MembershipMessage beat)
+  private static void packMembership(MessageBufferPacker out, MembershipMessage message)
       throws IOException {
-    out.packInt(beat.type().ordinal()).packLong(beat.sequence()).packString(beat.subject());
-    out.packLong(beat.appliedOffset()).packArrayHeader(beat.rumors().size());
-    for (Rumor rumor : beat.rumors()) {
+    out.packInt(message.type().ordinal())
+        .packLong(message.sequence())
+        .packString(message.subject());
+    out.packLong(message.appliedOffset()).packArrayHeader(message.rumors().size());
+    for (Rumor rumor : message.rumors()) {
       out.packString(rumor.nodeId()).packInt(rumor.status().ordinal());
       out.packLong(rumor.incarnation());
     }
   }
 
-  private static MembershipMessage unpackHeartbeat(MessageUnpacker in) throws IOException {
+  private static MembershipMessage unpackMembership(MessageUnpacker in) throws IOException {
     MembershipMessage.Type type = ofOrdinal(MembershipMessage.Type.values(), in.unpackInt());
     long sequence = in.unpackLong();
     String subject = in.unpackString();
@@ -158,7 +160,7 @@
 
   private static <T> T ofOrdinal(T[] values, int ordinal) {
     if (ordinal < 0 || ordinal >= values.length) {
-      throw new IllegalArgumentException("no value " + ordinal);
+      throw new IllegalArgumentException("unknown enum ordinal: " + ordinal);
     }
     return values[ordinal];
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerLink.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerLink.java
@@ -11,15 +11,15 @@
  */
 public interface PeerLink {
   /**
-   * Sends a message, connecting first if need be. Messages to one process arrive in order, or the
-   * link is reported lost.
+   * Sends a message, connecting first if necessary. Messages to one process arrive in order, or the
+   * loss of the link is reported.
    *
-   * @param to whom it goes to
+   * @param to the process to send to
    * @param message the message
-   * @param onNotSent called if it is certain that no byte of it left
+   * @param onNotSent called if it is certain that no byte of the message was sent
    */
   void send(Node to, PeerMessage message, Runnable onNotSent);
 
-  /** Drops the link to a process, as if it had been lost. */
+  /** Closes the link to a process; reported like a lost link. */
   void drop(String nodeId);
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerListener.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerListener.java
@@ -3,21 +3,21 @@
 import org.shoreroad.state.Node;
 
 /**
- * Takes in what comes over the links. Called on the link's thread; must not block.
+ * Receives the events of links to peers. Called on the transport's thread; must not block.
  *
  * @since 0.1
  */
 public interface PeerListener {
   /**
-   * Takes in a message.
+   * Called when a message has arrived.
    *
-   * @param from who sent it
+   * @param from the sender
    * @param message the message
    */
   default void onMessage(Node from, PeerMessage message) {}
 
   /**
-   * Takes in that a link was lost: what was sent over it may have arrived or not.
+   * Called when a link was lost; messages sent over it may or may not have arrived.
    *
    * @param nodeId the process at the other end
    */
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerMessage.java
@@ -9,7 +9,7 @@
 import org.shoreroad.state.Node;
 
 /**
- * What processes of the system say to each other.
+ * A message between processes of the system.
  *
  * <p>Implementations are immutable and thread-safe.
  *
@@ -17,58 +17,58 @@
  */
 public sealed interface PeerMessage {
   /**
-   * The first message on a link: who speaks, and that it knows the token.
+   * The first message on a connection, which identifies and authenticates the sender.
    *
-   * @param node who speaks
-   * @param token the token
+   * @param node the sender
+   * @param token the token that all processes share
    */
   record Hello(Node node, String token) implements PeerMessage {}
 
   /**
-   * A heartbeat.
+   * A message of the membership protocol.
    *
-   * @param message the heartbeat
+   * @param message the message
    */
   record Membership(MembershipMessage message) implements PeerMessage {}
 
   /**
-   * Gateway to owner: a request.
+   * Gateway to owner: runs a request.
    *
    * @param submission the request
    */
   record Submit(Submission submission) implements PeerMessage {}
 
   /**
-   * Gateway to owner: nobody waits for the answer any more.
+   * Gateway to owner: cancels a request whose answer is no longer needed.
    *
    * @param requestId the request
    */
   record Cancel(String requestId) implements PeerMessage {}
 
   /**
-   * Owner to gateway: a piece of the answer.
+   * Owner to gateway: a chunk of the answer.
    *
    * @param requestId the request
-   * @param sequence the piece's number
-   * @param bytes the piece
+   * @param sequence the chunk's number
+   * @param bytes the content
    */
   record Chunk(String requestId, long sequence, byte[] bytes) implements PeerMessage {}
 
   /**
-   * Owner to gateway: the answer is whole.
+   * Owner to gateway: the answer is complete.
    *
    * @param requestId the request
    */
   record Ended(String requestId) implements PeerMessage {}
 
   /**
-   * Owner to gateway: the answer is not whole.
+   * Owner to gateway: the request failed; its answer is not complete.
    *
    * @param requestId the request
-   * @param code why
-   * @param verdict whether it may have run
-   * @param message why, for people
-   * @param retryAfterMs when to come back, or 0
+   * @param code the reason
+   * @param verdict whether the request may have run
+   * @param message the reason as text
+   * @param retryAfterMs the delay before a retry in milliseconds, or 0 for none
    */
   record Failed(
       String requestId, ErrorCode code, Verdict verdict, String message, long retryAfterMs)
@@ -90,33 +90,33 @@
   }
 
   /**
-   * Asks for the applied state, if the other is ahead.
+   * Requests the applied state of a process with a higher applied offset.
    *
-   * @param appliedOffset how far the asker is
+   * @param appliedOffset the applied offset of the sender
    */
   record CatchUpRequest(long appliedOffset) implements PeerMessage {}
 
   /**
-   * The applied state of a process that is ahead.
+   * The applied state of the sender, in response to {@link CatchUpRequest}.
    *
    * @param checkpoint the state, as a checkpoint
    */
   record CatchUpState(byte[] checkpoint) implements PeerMessage {}
 
   /**
-   * Gateway to keeper: append an intent and tell who won.
+   * Gateway to intent appender: requests to append an intent record.
    *
-   * @param callId the number that the answer repeats
+   * @param callId the number that the response repeats
    * @param shard the intent stream
-   * @param record the intent
+   * @param record the intent record
    */
   record ClaimRequest(long callId, int shard, IntentRecord record) implements PeerMessage {}
 
   /**
-   * Keeper to gateway: who won.
+   * Intent appender to gateway: the result of a claim.
    *
-   * @param callId the claim's number
-   * @param result what became of it
+   * @param callId the number of the {@link ClaimRequest}
+   * @param result the result
    */
   record ClaimResponse(long callId, ClaimResult result) implements PeerMessage {}
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/PeerTransport.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/PeerTransport.java
@@ -31,11 +31,11 @@
 import org.shoreroad.state.Node;
 
 /**
- * The links to other processes: one TCP connection for each direction, each frame a length and a
+ * The links to other processes: one TCP connection in each direction, with frames of a length and a
  * MessagePack message.
  *
- * <p>A process sends only over the connections it opened itself, so the messages to one peer keep
- * their order. The loss of either connection counts as the loss of the link. Thread-safe.
+ * <p>A process sends only over connections that it opened, so the messages to one peer stay in
+ * order. The loss of either connection is reported as the loss of the link. Thread-safe.
  *
  * @since 0.1
  */
@@ -75,7 +75,10 @@
     listeners.add(listener);
   }
 
-  /** Returns this process as peers see it; its address is known once started. */
+  /**
+   * Returns this process with its address for peers, which is final once {@link #start} has
+   * returned.
+   */
   public Node self() {
     return self;
   }
@@ -193,12 +196,12 @@
     };
   }
 
-  /** Passes a message on to the listeners. */
+  /** Passes a message to the listeners. */
   void report(Node from, PeerMessage message) {
     listeners.forEach(listener -> listener.onMessage(from, message));
   }
 
-  /** Passes the loss of a link on to the listeners. */
+  /** Reports the loss of a link to the listeners. */
   void reportLost(String nodeId) {
     listeners.forEach(listener -> listener.onLinkLost(nodeId));
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/package-info.java
@@ -1,4 +1,4 @@
-/** The link between processes: MessagePack messages in length-prefixed TCP frames. */
+/** The links between processes: MessagePack messages in length-prefixed TCP frames. */
 @NullMarked
 package org.shoreroad.daemon.peer;
 
--- a/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
@@ -27,7 +27,10 @@
 import org.shoreroad.member.Rumor;
 import org.shoreroad.state.Node;
 
-/** Messages arrive whole and in order; strangers get nowhere; what was not sent is said so. */
+/**
+ * Checks order and encoding of messages, authentication, and the report of lost links and unsent
+ * messages.
+ */
 class PeerTransportTest {
   private final Metrics metrics = new Metrics();
   private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
@@ -85,7 +88,7 @@
   }
 
   @Test
-  void testSend_inOrder() throws Exception {
+  void testSend_messagesArriveInOrder() throws Exception {
     for (int i = 0; i < 1_000; i++) {
       a.send(b.self(), new PeerMessage.CatchUpRequest(i), () -> lost.add("not sent"));
     }
@@ -95,7 +98,7 @@
   }
 
   @Test
-  void testSend_nobodyThereIsNotSent() throws Exception {
+  void testSend_unreachablePeerIsReportedNotSent() throws Exception {
     CountDownLatch notSent = new CountDownLatch(1);
     a.send(
         new Node("c", "127.0.0.1:1", "z"), new PeerMessage.CatchUpRequest(1), notSent::countDown);
@@ -103,7 +106,7 @@
   }
 
   @Test
-  void testDrop_isReportedAtTheOtherEnd() throws Exception {
+  void testDrop_lossIsReportedToPeer() throws Exception {
     a.send(b.self(), new PeerMessage.CatchUpRequest(1), () -> {});
     received.poll(10, TimeUnit.SECONDS);
     a.drop("b");
@@ -111,12 +114,12 @@
   }
 
   @Test
-  void testStranger_isRefusedAndCounted() throws Exception {
+  void testReceive_unauthenticatedPeerIsRefusedAndCounted() throws Exception {
     InetSocketAddress address = Settings.parseAddress("b", b.self().peerAddress());
-    byte[][] strangers = {
+    byte[][] invalidGreetings = {
       "GET / HTTP/1.1\r\n\r\n".getBytes(), {0, 0, 0, 2, 1, 1}, {0, 0, 0, 1, 0x55}
     };
-    for (byte[] bytes : strangers) {
+    for (byte[] bytes : invalidGreetings) {
       try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
         OutputStream out = socket.getOutputStream();
         out.write(bytes);
@@ -135,15 +138,15 @@
   }
 
   @Test
-  void testCodec_givesEveryMessageBack() {
-    MembershipMessage beat =
+  void testCodec_roundTripsMessages() {
+    MembershipMessage membershipMessage =
         new MembershipMessage(
             MembershipMessage.Type.ACK, 7, "s", 9, List.of(new Rumor("n", PeerStatus.SUSPECT, 3)));
     IntentRecord intent = new IntentRecord(IntentRecord.Type.STARTING, "i", "k");
     List<PeerMessage> messages =
         List.of(
             new PeerMessage.Hello(new Node("n", "h:1", "z"), "t"),
-            new PeerMessage.Membership(beat),
+            new PeerMessage.Membership(membershipMessage),
             new PeerMessage.Cancel("r"),
             new PeerMessage.Ended("r"),
             new PeerMessage.Failed("r", ErrorCode.QUEUE_FULL, Verdict.NOT_RUN, "m", 5),
