--- a/daemon/src/main/java/org/shoreroad/daemon/Daemon.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/Daemon.java
@@ -11,7 +11,7 @@
 import org.shoreroad.daemon.settings.Settings;
 
 /**
- * One process of the system, from start to planned stop.
+ * A process of the system, from its start to its stop.
  *
  * <p>Thread-safe.
  *
@@ -20,7 +20,7 @@
 public final class Daemon {
   private static final Logger LOG = Logger.getLogger(Daemon.class);
   private static final long POLL_MS = 20;
-  private static final long RESIGN_MS = 300;
+  private static final long NODE_LEFT_APPEND_MS = 300;
 
   private final Settings settings;
   private final Kernel kernel;
@@ -30,7 +30,7 @@
     this.kernel = kernel;
   }
 
-  /** Starts a process with these settings; returns once its ports are open. */
+  /** Starts a process with these settings. Returns once its ports are open. */
   public static Daemon start(Settings settings) {
     Kernel kernel = DaggerDaemonComponent.factory().create(settings).kernel();
     kernel.start();
@@ -41,21 +41,22 @@
     return daemon;
   }
 
-  /** Returns where callers are served. */
+  /** Returns the address at which callers are served. */
   public InetSocketAddress callerAddress() {
     return kernel.find(GatewayService.NAME, GatewayService.class).address();
   }
 
-  /** Returns where operators are served. */
+  /** Returns the address at which operators are served. */
   public InetSocketAddress opsAddress() {
     return kernel.find(OpsService.NAME, OpsService.class).address();
   }
 
   /**
-   * Stops by plan: not ready, owns nothing new, finishes what runs, ends.
+   * Drains and stops the process: it becomes unready, takes no new replicas, completes running
+   * requests and stops.
    *
-   * <p>New requests are still taken for {@code --unready-ms}, until the balancer has noticed, and
-   * refused after that; what is open after {@code --drain-ms} is cut.
+   * <p>New requests are accepted for another {@code --unready-ms}, until the load balancer has
+   * noticed, and then rejected. Requests still open after {@code --drain-ms} are aborted.
    */
   public void drainAndStop() {
     LOG.infof("SR-0011 process %s is stopping", settings.nodeId());
@@ -71,12 +72,12 @@
       sleep(POLL_MS);
     }
     members.appendNodeLeft();
-    sleep(RESIGN_MS);
+    sleep(NODE_LEFT_APPEND_MS);
     kernel.stop();
     LOG.infof("SR-0012 process %s has stopped", settings.nodeId());
   }
 
-  /** Stops at once; what is open is cut. */
+  /** Stops at once; open requests are aborted. */
   public void stopNow() {
     kernel.stop();
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/DaemonComponent.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/DaemonComponent.java
@@ -6,14 +6,14 @@
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.settings.Settings;
 
-/** Makes the kernel of a process out of its settings. */
+/** Creates the kernel of a process from its settings. */
 @Singleton
 @Component(modules = DaemonModule.class)
 interface DaemonComponent {
   /** Returns the kernel with all services, not started. */
   Kernel kernel();
 
-  /** Makes the component. */
+  /** Creates the component. */
   @Component.Factory
   interface Factory {
     /** Returns the component for these settings. */
--- a/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
@@ -24,7 +24,7 @@
 import org.shoreroad.daemon.platform.PlatformLog;
 import org.shoreroad.daemon.settings.Settings;
 
-/** Puts the services of a process together. */
+/** Provides the services of a process. */
 @Module
 final class DaemonModule {
   private DaemonModule() {}
@@ -47,7 +47,7 @@
     return new HttpBoxList(settings.boxesUrl());
   }
 
-  /** Returns the kernel; the order of the services is the order of their start. */
+  /** Returns the kernel with the services in start order. */
   @Provides
   @Singleton
   static Kernel kernel(
@@ -56,9 +56,9 @@
       ControlAppender appender,
       MembershipService members,
       OwnerService owner,
-      OwnerLink link,
-      IntentAppender keeper,
-      IntentClient intents,
+      OwnerLink ownerLink,
+      IntentAppender intentAppender,
+      IntentClient intentClient,
       PlannerService planner,
       CheckpointService checkpoint,
       ControlLog control,
@@ -73,9 +73,9 @@
             appender,
             members,
             owner,
-            link,
-            keeper,
-            intents,
+            ownerLink,
+            intentAppender,
+            intentClient,
             planner,
             checkpoint,
             control,
--- a/daemon/src/main/java/org/shoreroad/daemon/Main.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/Main.java
@@ -17,7 +17,8 @@
 /**
  * The entry point of the daemon.
  *
- * <p>Exit codes: 0 after a planned stop, 2 if a setting is wrong, 1 if a port can't be opened.
+ * <p>Exit codes: 0 after a drained stop, 1 if the start fails, such as when a port can't be bound,
+ * and 2 if a setting is invalid.
  *
  * @since 0.1
  */
@@ -25,8 +26,8 @@
   /** The version of this program. */
   public static final String VERSION = "0.1.0";
 
-  private static final int START_FAILED = 1;
-  private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5p %c{1} %s%e%n";
+  private static final int START_FAILED_EXIT_CODE = 1;
+  private static final String LOG_PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5p %c{1} %s%e%n";
 
   private Main() {}
 
@@ -56,14 +57,17 @@
       Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(daemon), "stop"));
     } catch (ShoreroadException e) {
       System.err.println("shoreroad: " + e.getMessage());
-      System.exit(START_FAILED);
+      System.exit(START_FAILED_EXIT_CODE);
     } catch (RuntimeException | LinkageError e) {
       e.printStackTrace();
-      System.exit(START_FAILED);
+      System.exit(START_FAILED_EXIT_CODE);
     }
   }
 
-  /** Stops by plan and ends with 0, which the JVM itself would not do after a signal. */
+  /**
+   * Drains and stops, then exits with 0; after a signal the JVM itself would exit with another
+   * code.
+   */
   private static void stop(Daemon daemon) {
     daemon.drainAndStop();
     Runtime.getRuntime().halt(0);
@@ -80,11 +84,11 @@
     }
     ConsoleHandler console = new ConsoleHandler();
     console.setLevel(Level.INFO);
-    console.setFormatter(isJson ? new JsonFormatter() : new PatternFormatter(PATTERN));
+    console.setFormatter(isJson ? new JsonFormatter() : new PatternFormatter(LOG_PATTERN));
     root.addHandler(console);
     root.setLevel(Level.INFO);
-    for (String quiet : new String[] {"io.undertow", "org.xnio", "org.jboss.threads"}) {
-      Logger.getLogger(quiet).setLevel(Level.WARNING);
+    for (String category : new String[] {"io.undertow", "org.xnio", "org.jboss.threads"}) {
+      Logger.getLogger(category).setLevel(Level.WARNING);
     }
   }
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon: its entry point, and how its services are put together. */
+/** The daemon: its entry point and the assembly of its services. */
 @NullMarked
 package org.shoreroad.daemon;
 
