--- a/daemon/src/main/java/org/shoreroad/daemon/platform/HttpBoxList.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/platform/HttpBoxList.java
@@ -13,7 +13,7 @@
 import org.shoreroad.placement.ListedBox;
 
 /**
- * The platform's list over HTTP: {@code GET /boxes}, a JSON array.
+ * Reads the list of boxes over HTTP: {@code GET /boxes} returns a JSON array.
  *
  * <p>Thread-safe.
  *
@@ -30,7 +30,7 @@
           .build();
   private final Request request;
 
-  /** Creates a client of the list at this URL. */
+  /** Creates a client of the list at this base URL. */
   public HttpBoxList(String url) {
     this.request = new Request.Builder().url(url + "/boxes").build();
   }
@@ -39,7 +39,7 @@
   public List<ListedBox> read() {
     try (Response response = client.newCall(request).execute()) {
       if (!response.isSuccessful()) {
-        throw new LogException(true, "the list of boxes answered " + response.code());
+        throw new LogException(true, "the list of boxes returned HTTP status " + response.code());
       }
       List<ListedBox> boxes = new ArrayList<>();
       for (JsonNode node : mapper.readTree(response.body().bytes())) {
--- a/daemon/src/main/java/org/shoreroad/daemon/platform/HttpPlatformLog.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/platform/HttpPlatformLog.java
@@ -16,10 +16,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The log over HTTP: {@code POST} and {@code GET /streams/NAME/records} with MessagePack bodies.
+ * Accesses the log over HTTP: {@code POST} and {@code GET /streams/NAME/records} with MessagePack
+ * bodies.
  *
- * <p>Thread-safe. A call is never repeated here: an append whose answer was lost may have taken
- * effect, and only its writer can tell, by the record's id.
+ * <p>Calls are never retried here: an append whose answer was lost may have taken effect, which
+ * only the caller can determine, by the id of the record. Thread-safe.
  *
  * @since 0.1
  */
@@ -32,7 +33,7 @@
   private final HttpUrl base;
   private final OkHttpClient client;
 
-  /** Creates a client of the log at this URL. */
+  /** Creates a client of the log at this base URL. */
   public HttpPlatformLog(String url) {
     this.base = HttpUrl.get(url);
     this.client =
@@ -53,7 +54,7 @@
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(answer)) {
       return in.unpackLong();
     } catch (IOException | MessagePackException e) {
-      throw new LogException(false, "the log's answer is out of form");
+      throw new LogException(false, "the log's answer is malformed");
     }
   }
 
@@ -76,7 +77,7 @@
       }
       return new LogBatch(earliest, head, records);
     } catch (IOException | MessagePackException e) {
-      throw new LogException(true, "the log's answer is out of form");
+      throw new LogException(true, "the log's answer is malformed");
     }
   }
 
@@ -97,7 +98,7 @@
     try (Response response = timed.newCall(request).execute()) {
       if (!response.isSuccessful()) {
         boolean isRefused = response.code() == TOO_MANY_REQUESTS || response.code() == UNAVAILABLE;
-        throw new LogException(isRefused, "the log answered " + response.code());
+        throw new LogException(isRefused, "the log returned HTTP status " + response.code());
       }
       return response.body().bytes();
     } catch (IOException e) {
--- a/daemon/src/main/java/org/shoreroad/daemon/platform/LogBatch.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/platform/LogBatch.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What one read of a stream gave.
+ * The result of one read of a stream.
  *
  * <p>This class is immutable and thread-safe.
  *
- * @param earliest the offset of the earliest record the log still keeps, or head + 1 if none
+ * @param earliest the offset of the earliest record that the log retains, or head + 1 if none
  * @param head the offset of the last record, or 0 for none
- * @param records the records from the asked offset on, in order
+ * @param records the records from the requested offset on, in order
  * @since 0.1
  */
 public record LogBatch(long earliest, long head, List<Entry> records) {
@@ -21,8 +21,8 @@
   /**
    * One record.
    *
-   * @param offset its offset
-   * @param bytes its content
+   * @param offset the offset
+   * @param bytes the content
    */
   public record Entry(long offset, byte[] bytes) {}
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/platform/LogException.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/platform/LogException.java
@@ -1,7 +1,7 @@
 package org.shoreroad.daemon.platform;
 
 /**
- * The log did not answer as it should.
+ * Thrown when a call to the log or to the list of boxes fails.
  *
  * @since 0.1
  */
@@ -11,15 +11,17 @@
   /**
    * Creates the exception.
    *
-   * @param isRefused whether the log itself said no, so that nothing took effect
-   * @param message what happened
+   * @param isRefused whether the call certainly had no effect, such as when the log rejected it
+   * @param message the reason
    */
   public LogException(boolean isRefused, String message) {
     super(message);
     this.isRefused = isRefused;
   }
 
-  /** Returns true if nothing took effect; else an append may have. */
+  /**
+   * Returns true if the call certainly had no effect; otherwise an append may have taken effect.
+   */
   public boolean isRefused() {
     return isRefused;
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/platform/PlatformLog.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/platform/PlatformLog.java
@@ -5,18 +5,19 @@
 /**
  * The platform's append-only log service.
  *
- * <p>Implementations are thread-safe. Offsets begin at 1 in each stream.
+ * <p>Implementations are thread-safe. The offsets of each stream start at 1.
  *
  * @since 0.1
  */
 public interface PlatformLog {
   /**
-   * Appends records to a stream, all or none, next to each other.
+   * Appends records to a stream atomically, at consecutive offsets.
    *
    * @param stream the stream's name
    * @param records the records, at least one
-   * @return the offset of the first
-   * @throws LogException if it failed, or if the answer was lost and it may have taken effect
+   * @return the offset of the first record
+   * @throws LogException if the append failed, or if its answer was lost and it may have taken
+   *     effect
    */
   long append(String stream, List<byte[]> records);
 
@@ -24,11 +25,11 @@
    * Reads a stream.
    *
    * @param stream the stream's name
-   * @param from the offset to begin at, 1 or more
-   * @param max how many records at most
-   * @param waitMs how long to wait for a record if there is none, in milliseconds
-   * @return what was read
-   * @throws LogException if it failed
+   * @param from the first offset to read, at least 1
+   * @param max the maximum number of records
+   * @param waitMs the maximum time to wait for a record if there is none, in milliseconds
+   * @return the records read
+   * @throws LogException if the read failed
    */
   LogBatch read(String stream, long from, int max, long waitMs);
 }
--- a/daemon/src/main/java/org/shoreroad/daemon/platform/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The clients of the platform: its log and its list of boxes. */
+/** Clients of the platform's log and its list of boxes. */
 @NullMarked
 package org.shoreroad.daemon.platform;
 
