--- a/daemon/src/main/java/org/shoreroad/daemon/metrics/Metrics.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/metrics/Metrics.java
@@ -14,7 +14,7 @@
 import org.shoreroad.daemon.kernel.Service;
 
 /**
- * The counters, gauges and timers of a process, as Prometheus text.
+ * A registry of the counters, gauges and timers of a process, exported as Prometheus text.
  *
  * <p>Thread-safe.
  *
@@ -24,8 +24,8 @@
   /** The name of this service. */
   public static final String NAME = "metrics";
 
-  private static final Duration LONGEST = Duration.ofMinutes(5);
-  private static final Duration SHORTEST = Duration.ofMillis(1);
+  private static final Duration MAX_EXPECTED_DURATION = Duration.ofMinutes(5);
+  private static final Duration MIN_EXPECTED_DURATION = Duration.ofMillis(1);
 
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -39,7 +39,7 @@
 
   @Override
   public void start(Kernel kernel) {
-    // Every refusal reason is there from the start, at zero, so that a rate can be taken of it.
+    // Registers each refusal code at zero, so that rates can be computed from the first refusal on.
     for (ErrorCode code : ErrorCode.values()) {
       refusal(code, Verdict.NOT_RUN, 0);
     }
@@ -60,17 +60,17 @@
     count("shoreroad.retries", "reason", reason);
   }
 
-  /** Counts one of the name, without a label. */
+  /** Increments a counter without a label. */
   public void count(String name) {
     counters.computeIfAbsent(name, n -> Counter.builder(n).register(registry)).increment();
   }
 
-  /** Counts one of the name with one label. */
+  /** Increments a counter with one label. */
   public void count(String name, String label, String value) {
     add(name, label, value, 1);
   }
 
-  /** Counts several of the name with one label. */
+  /** Adds an amount to a counter with one label. */
   public void add(String name, String label, String value, double amount) {
     counters
         .computeIfAbsent(
@@ -78,12 +78,12 @@
         .increment(amount);
   }
 
-  /** Registers a gauge that is read whenever the metrics are. */
+  /** Registers a gauge, whose value is read at each export. */
   public void gauge(String name, Supplier<Number> value) {
     Gauge.builder(name, value).strongReference(true).register(registry);
   }
 
-  /** Records how long something took, by request kind. */
+  /** Records a duration in nanoseconds by request kind. */
   public void record(String name, String kind, long nanos) {
     timers
         .computeIfAbsent(
@@ -92,13 +92,13 @@
                 Timer.builder(name)
                     .tag("kind", kind)
                     .publishPercentileHistogram()
-                    .minimumExpectedValue(SHORTEST)
-                    .maximumExpectedValue(LONGEST)
+                    .minimumExpectedValue(MIN_EXPECTED_DURATION)
+                    .maximumExpectedValue(MAX_EXPECTED_DURATION)
                     .register(registry))
         .record(Duration.ofNanos(Math.max(0, nanos)));
   }
 
-  /** Returns all of it as Prometheus text. */
+  /** Returns all metrics as Prometheus text. */
   public String toPrometheusText() {
     return registry.scrape();
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/metrics/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** The counters and gauges of a process. */
+/** The metrics of a process. */
 @NullMarked
 package org.shoreroad.daemon.metrics;
 
