--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
@@ -35,7 +35,7 @@
 import org.shoreroad.state.Outcome;
 
 /**
- * What operators can ask of a process; each answer is turned into JSON.
+ * The calls of the operators' API of a process.
  *
  * <p>Thread-safe.
  *
@@ -76,14 +76,14 @@
   }
 
   /**
-   * Answers a call.
+   * Runs a call.
    *
    * @param method the HTTP method
-   * @param call the call's name, and for some a name after a slash
+   * @param call the call's name, followed by a slash and an argument for some calls
    * @param parameters the query parameters
    * @param body the body
-   * @return what is to be turned into JSON
-   * @throws ShoreroadException if the call is unknown or refused
+   * @return the result, to be encoded as JSON
+   * @throws ShoreroadException if the call is unknown or rejected
    */
   public Object call(String method, String call, Map<String, String> parameters, String body) {
     String[] parts = call.split("/", 2);
@@ -101,7 +101,7 @@
       case "POST undrain" -> drain(argument, false);
       case "GET in-force" -> inForce(Long.parseLong(argument));
       case "GET explain" -> explain(argument);
-      default -> throw ShoreroadException.notRun(ErrorCode.NOT_FOUND, "no such call: " + name);
+      default -> throw ShoreroadException.notRun(ErrorCode.NOT_FOUND, "unknown call: " + name);
     };
   }
 
@@ -139,8 +139,11 @@
 
   private List<Object> replicas() {
     List<Object> rows = new ArrayList<>();
-    Map<Long, OwnerSnapshot.ReplicaView> own = new LinkedHashMap<>();
-    owner.snapshot().replicas().forEach(view -> own.put(view.generation().number(), view));
+    Map<Long, OwnerSnapshot.ReplicaView> ownViewByGeneration = new LinkedHashMap<>();
+    owner
+        .snapshot()
+        .replicas()
+        .forEach(view -> ownViewByGeneration.put(view.generation().number(), view));
     for (Generation generation : control.state().generations().values()) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("generation", generation.number());
@@ -150,7 +153,7 @@
       row.put("boxes", generation.boxes().stream().map(Box::name).toList());
       row.put("held", generation.heldBoxes().stream().sorted().toList());
       row.put("owner", owner.owners().owner(generation.number()).map(Node::id).orElse("none"));
-      OwnerSnapshot.ReplicaView view = own.get(generation.number());
+      OwnerSnapshot.ReplicaView view = ownViewByGeneration.get(generation.number());
       if (view != null) {
         row.put("serving", view.isServing());
         row.put("running", view.running());
@@ -215,7 +218,7 @@
     if (file.baseVersion() == ConfigFile.NO_BASE) {
       throw ShoreroadException.notRun(
           ErrorCode.CONFIGURATION_INVALID,
-          "the file names no base_version; the current one is " + state.configVersion());
+          "the file has no base_version; the current one is " + state.configVersion());
     }
     ConfigChange change = ConfigChange.between(state.configuration(), file.configuration());
     Map<String, Object> answer = new LinkedHashMap<>();
@@ -237,7 +240,7 @@
             .join();
     if (outcome.isAccepted()) {
       LOG.infof(
-          "SR-0401 configuration %d by %s: %d entries",
+          "SR-0401 applied configuration %d by operator %s: %d entries",
           outcome.offset(), operator, change.keys().size());
       return outcome;
     }
@@ -261,7 +264,7 @@
     return Map.of("box", box, "draining", isDraining, "version", outcome.offset());
   }
 
-  /** Tells which working processes have not yet applied a version. */
+  /** Returns the working processes that have not yet applied a version. */
   private Map<String, Object> inForce(long version) {
     members.pingAll();
     MembershipView view = members.view();
@@ -286,7 +289,9 @@
                 () ->
                     ShoreroadException.notRun(
                         ErrorCode.NOT_FOUND,
-                        "this process does not remember " + requestId + "; ask the others"));
+                        "this process has no trace of request "
+                            + requestId
+                            + "; try the other processes"));
     long firstNanos = steps.get(0).atNanos();
     List<Object> rows = new ArrayList<>();
     for (RequestTrace.Step step : steps) {
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
@@ -28,10 +28,10 @@
 import org.shoreroad.daemon.settings.Settings;
 
 /**
- * Serves health checks, metrics and operators.
+ * Serves health checks, metrics and the operators' API over HTTP.
  *
- * <p>{@code /livez}, {@code /readyz} and {@code /metrics} are open; everything under {@code /ops/}
- * asks for the operator's token. Thread-safe.
+ * <p>{@code /livez}, {@code /readyz} and {@code /metrics} need no authentication; paths under
+ * {@code /ops/} require the operator token. Thread-safe.
  *
  * @since 0.1
  */
@@ -108,7 +108,11 @@
     }
   }
 
-  /** Returns where operators are served, once started. */
+  /**
+   * Returns the address of the server.
+   *
+   * @throws IllegalStateException if it is not started
+   */
   public InetSocketAddress address() {
     Undertow started = server;
     if (started == null) {
@@ -162,7 +166,7 @@
       sendError(
           exchange,
           ShoreroadException.notRun(
-              ErrorCode.OPERATOR_UNKNOWN, "Authorization carries no operator's token"));
+              ErrorCode.OPERATOR_UNKNOWN, "the Authorization header has no valid operator token"));
       return;
     }
     try {
