--- a/daemon/src/main/java/org/shoreroad/daemon/settings/Settings.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/settings/Settings.java
@@ -24,10 +24,10 @@
  * @since 0.1
  */
 public final class Settings {
-  /** What the name of every environment variable begins with. */
+  /** The prefix of the names of all environment variables. */
   public static final String VARIABLE_PREFIX = "SHOREROAD_";
 
-  /** The exit code of a process whose settings are wrong. */
+  /** The exit code of a process with invalid settings. */
   public static final int EXIT_CODE = 2;
 
   private static final String CTL_PREFIX = VARIABLE_PREFIX + "CTL_";
@@ -42,13 +42,13 @@
   }
 
   /**
-   * Returns the settings that flags and environment variables give.
+   * Parses flags and environment variables.
    *
    * @param args the flags, not null
    * @param environment the environment variables, not null
-   * @return the settings, checked unless help or version is asked for
-   * @throws SettingsException if one is unknown, missing, no number, out of range, or contradicts
-   *     another
+   * @return the settings, checked unless help or version is requested
+   * @throws SettingsException if a setting is unknown, missing, not a number, out of range, or
+   *     conflicts with another
    */
   public static Settings parse(String[] args, Map<String, String> environment) {
     List<String> all = new ArrayList<>(Arrays.asList(args));
@@ -70,7 +70,7 @@
     return message.lines().findFirst().orElse(message);
   }
 
-  /** Returns the flags for the variables that are set and whose flag is not given. */
+  /** Returns the flags and values of the set variables whose flag is not given. */
   private static List<String> fromEnvironment(List<String> args, Map<String, String> environment) {
     List<String> flags = new ArrayList<>();
     Set<String> known = allFlags().stream().map(Settings::toVariable).collect(Collectors.toSet());
@@ -128,13 +128,15 @@
     checkLess("--heartbeat-ms", options.heartbeatMs, "--contact-ms", options.contactMs);
     checkLess("--contact-ms", options.contactMs, "--quarantine-ms", options.quarantineMs);
     if (!options.logFormat.equals("text") && !options.logFormat.equals("json")) {
-      throw new SettingsException("--log-format is '" + options.logFormat + "': text or json");
+      throw new SettingsException(
+          "--log-format is '" + options.logFormat + "': text or json is expected");
     }
     if (options.nodeId.isBlank()) {
       throw new SettingsException("--node-id is empty");
     }
     if (!options.nodeId.matches("[A-Za-z0-9._-]{1,64}")) {
-      throw new SettingsException("--node-id is '" + options.nodeId + "': letters, digits, . _ -");
+      throw new SettingsException(
+          "--node-id is '" + options.nodeId + "': 1 to 64 letters, digits, . _ - are expected");
     }
   }
 
@@ -156,10 +158,10 @@
     try {
       URI uri = URI.create(value == null ? "" : value);
       if (!"http".equals(uri.getScheme()) && !"https".equals(uri.getScheme())) {
-        throw new IllegalArgumentException("no http url");
+        throw new IllegalArgumentException("not an http URL");
       }
     } catch (IllegalArgumentException e) {
-      throw new SettingsException(flag + " is '" + value + "': a http or https url is expected");
+      throw new SettingsException(flag + " is '" + value + "': an http or https URL is expected");
     }
   }
 
@@ -185,16 +187,16 @@
     throw new SettingsException(flag + " is '" + text + "': host:port is expected");
   }
 
-  private static String given(@Nullable String value) {
+  private static String orEmpty(@Nullable String value) {
     return value == null ? "" : value;
   }
 
-  /** Returns true if only the help is wanted. */
+  /** Returns true if the help is requested. */
   public boolean isHelp() {
     return options.isHelp;
   }
 
-  /** Returns true if only the version is wanted. */
+  /** Returns true if the version is requested. */
   public boolean isVersion() {
     return options.isVersion;
   }
@@ -206,60 +208,63 @@
 
   /** Returns the availability zone of this process. */
   public String zone() {
-    return given(options.zone);
+    return orEmpty(options.zone);
   }
 
-  /** Returns where callers are served. */
+  /** Returns the address to serve callers at. */
   public InetSocketAddress callerListen() {
     return parseAddress("--caller-listen", options.callerListen);
   }
 
-  /** Returns where operators are served. */
+  /** Returns the address to serve operators at. */
   public InetSocketAddress opsListen() {
     return parseAddress("--ops-listen", options.opsListen);
   }
 
-  /** Returns where peers are served. */
+  /** Returns the address to serve peers at. */
   public InetSocketAddress peerListen() {
     return parseAddress("--peer-listen", options.peerListen);
   }
 
-  /** Returns where peers reach this process, or an empty text for the listening address. */
+  /**
+   * Returns the address at which peers reach this process, or an empty string for the listening
+   * address.
+   */
   public String peerAdvertise() {
-    return given(options.peerAdvertise);
+    return orEmpty(options.peerAdvertise);
   }
 
   /** Returns the URL of the platform's log. */
   public String logUrl() {
-    return given(options.logUrl);
+    return orEmpty(options.logUrl);
   }
 
   /** Returns the URL of the platform's list of boxes. */
   public String boxesUrl() {
-    return given(options.boxesUrl);
+    return orEmpty(options.boxesUrl);
   }
 
   /** Returns the secret that all processes share. */
   public String peerToken() {
-    return given(options.peerToken);
+    return orEmpty(options.peerToken);
   }
 
-  /** Returns the secret that is asked of operators. */
+  /** Returns the secret that operators must send. */
   public String operatorToken() {
-    return given(options.operatorToken);
+    return orEmpty(options.operatorToken);
   }
 
-  /** Returns the times of the membership. */
+  /** Returns the timing of the membership protocol. */
   public MembershipTiming membershipTiming() {
     return MembershipTiming.of(options.heartbeatMs);
   }
 
-  /** Returns how long the last contact with the log or the peers counts, in nanoseconds. */
+  /** Returns how long contact with the log or the peers is valid, in nanoseconds. */
   public long contactNanos() {
     return options.contactMs * 1_000_000;
   }
 
-  /** Returns the times of the owner's decisions. */
+  /** Returns the timing of the replica owner's decisions. */
   public ReplicaTiming replicaTiming() {
     return ReplicaTiming.ofMs(
         options.evidenceMs,
@@ -270,57 +275,59 @@
         options.drainMs);
   }
 
-  /** Returns how often each box is probed, in milliseconds. */
+  /** Returns the interval between probes of a box, in milliseconds. */
   public long probeMs() {
     return options.probeMs;
   }
 
-  /** Returns how long an order or record may stay without effect, in milliseconds. */
+  /**
+   * Returns how long an order or record may have no effect before it is repeated, in milliseconds.
+   */
   public long orderMs() {
     return options.orderMs;
   }
 
-  /** Returns how long running requests are waited for at a planned stop, in milliseconds. */
+  /** Returns the maximum wait for running requests when draining, in milliseconds. */
   public long drainMs() {
     return options.drainMs;
   }
 
-  /** Returns how long callers are still served after this process is unready, in milliseconds. */
+  /** Returns how long new requests are accepted after the process is unready, in milliseconds. */
   public long unreadyMs() {
     return options.unreadyMs;
   }
 
-  /** Returns the size of the largest request body, in bytes. */
+  /** Returns the maximum size of a request body, in bytes. */
   public long maxBodyBytes() {
     return options.maxBodyBytes;
   }
 
-  /** Returns how much of an answer waits for a slow caller, in bytes. */
+  /** Returns the maximum unsent part of an answer to a slow caller, in bytes. */
   public long maxUnsentBytes() {
     return options.maxUnsentBytes;
   }
 
-  /** Returns how many intent streams there are. */
+  /** Returns the number of intent streams. */
   public int intentShards() {
     return Math.toIntExact(options.intentShards);
   }
 
-  /** Returns how old a key may be, in milliseconds. */
+  /** Returns the maximum age of a key, in milliseconds. */
   public long intentWindowMs() {
     return options.intentWindowMs;
   }
 
-  /** Returns how long at least from one append to an intent stream to the next, in milliseconds. */
+  /** Returns the minimum interval between appends to an intent stream, in milliseconds. */
   public long intentAppendMs() {
     return options.intentAppendMs;
   }
 
-  /** Returns after how many control records a checkpoint is appended. */
+  /** Returns the number of control records after which a checkpoint is appended. */
   public long checkpointRecords() {
     return options.checkpointRecords;
   }
 
-  /** Returns after how long a checkpoint is appended in any case, in nanoseconds. */
+  /** Returns the maximum time between checkpoints, in nanoseconds. */
   public long checkpointNanos() {
     return options.checkpointMs * 1_000_000;
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/settings/SettingsException.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/settings/SettingsException.java
@@ -1,12 +1,12 @@
 package org.shoreroad.daemon.settings;
 
 /**
- * A setting is wrong; the message is one line that names it.
+ * Thrown for an invalid setting; the message is one line that names the setting.
  *
  * @since 0.1
  */
 public final class SettingsException extends RuntimeException {
-  /** Creates the exception with its line. */
+  /** Creates the exception with a one-line message. */
   public SettingsException(String message) {
     super(message);
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/settings/package-info.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/settings/package-info.java
@@ -1,4 +1,4 @@
-/** What a process is told at its start, checked. */
+/** The flags and environment variables of a process, and their checks. */
 @NullMarked
 package org.shoreroad.daemon.settings;
 
--- a/daemon/src/test/java/org/shoreroad/daemon/settings/SettingsTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/settings/SettingsTest.java
@@ -14,9 +14,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A wrong setting gives one line that names it; flags go before variables. */
+/**
+ * Checks that errors name the invalid setting in one line, and that flags take precedence over
+ * variables.
+ */
 class SettingsTest {
-  private static final List<String> GOOD =
+  private static final List<String> VALID_ARGS =
       List.of(
           "--zone",
           "z",
@@ -36,19 +39,19 @@
           "o");
 
   private static Settings parse(Map<String, String> environment, String... more) {
-    List<String> args = new ArrayList<>(GOOD);
+    List<String> args = new ArrayList<>(VALID_ARGS);
     args.addAll(List.of(more));
     return Settings.parse(args.toArray(String[]::new), environment);
   }
 
-  private static void expect(String name, String... more) {
+  private static void assertRejected(String name, String... more) {
     SettingsException e = assertThrows(SettingsException.class, () -> parse(Map.of(), more));
     assertThat(e.getMessage(), containsString(name));
     assertThat(e.getMessage().lines().count(), is(1L));
   }
 
   @Test
-  void testParse_flagGoesBeforeVariable() {
+  void testParse_flagOverridesVariable() {
     Map<String, String> environment =
         Map.of("SHOREROAD_PROBE_MS", "300", "SHOREROAD_ORDER_MS", "700", "SHOREROAD_CTL_URL", "x");
     Settings settings = parse(environment, "--probe-ms", "400");
@@ -57,21 +60,21 @@
   }
 
   @Test
-  void testParse_faultsNameTheSetting() {
-    expect("--nosuch", "--nosuch", "1");
-    expect("probe-ms", "--probe-ms", "many");
-    expect("probe-ms", "--probe-ms", "1");
-    expect("--evidence-ms", "--evidence-ms", "200");
-    expect("--quarantine-ms", "--quarantine-ms", "1000");
-    expect("--log-format", "--log-format", "xml");
-    expect("--node-id", "--node-id", "a b");
+  void testParse_errorNamesSetting() {
+    assertRejected("--nosuch", "--nosuch", "1");
+    assertRejected("probe-ms", "--probe-ms", "many");
+    assertRejected("probe-ms", "--probe-ms", "1");
+    assertRejected("--evidence-ms", "--evidence-ms", "200");
+    assertRejected("--quarantine-ms", "--quarantine-ms", "1000");
+    assertRejected("--log-format", "--log-format", "xml");
+    assertRejected("--node-id", "--node-id", "a b");
   }
 
   @Test
-  void testParse_addressesAndUrlsAreChecked() {
-    List<String> args = new ArrayList<>(GOOD);
-    for (String bad : List.of("127.0.0.1", "127.0.0.1:x", ":1", "127.0.0.1:99999")) {
-      args.set(3, bad);
+  void testParse_invalidAddressOrUrlIsRejected() {
+    List<String> args = new ArrayList<>(VALID_ARGS);
+    for (String invalid : List.of("127.0.0.1", "127.0.0.1:x", ":1", "127.0.0.1:99999")) {
+      args.set(3, invalid);
       SettingsException e =
           assertThrows(
               SettingsException.class, () -> Settings.parse(args.toArray(String[]::new), Map.of()));
@@ -91,7 +94,7 @@
   }
 
   @Test
-  void testParse_missingAndUnknownVariable() {
+  void testParse_missingFlagOrUnknownVariableIsRejected() {
     SettingsException missing =
         assertThrows(SettingsException.class, () -> Settings.parse(new String[0], Map.of()));
     assertThat(missing.getMessage(), containsString("--"));
@@ -101,16 +104,16 @@
   }
 
   @Test
-  void testParse_variablesAloneSuffice() {
+  void testParse_acceptsVariablesOnly() {
     Map<String, String> environment = new HashMap<>();
-    for (int i = 0; i < GOOD.size(); i += 2) {
-      environment.put(Settings.toVariable(GOOD.get(i)), GOOD.get(i + 1));
+    for (int i = 0; i < VALID_ARGS.size(); i += 2) {
+      environment.put(Settings.toVariable(VALID_ARGS.get(i)), VALID_ARGS.get(i + 1));
     }
     assertThat(Settings.parse(new String[0], environment).zone(), is("z"));
   }
 
   @Test
-  void testAllFlags_standInTheOperatorsPage() throws IOException {
+  void testAllFlags_areDocumentedForOperators() throws IOException {
     String page = Files.readString(Path.of("..", "docs", "OPERATIONS.md"));
     for (String flag : Settings.allFlags()) {
       assertThat(page, containsString("`" + flag + "`"));
