--- a/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/control/PlannerService.java
@@ -27,7 +27,8 @@
 import org.shoreroad.state.Outcome;
 
 /**
- * Runs the planner on one process, chosen by rendezvous hashing among those that take new work.
+ * Runs the planner on one process at a time, chosen by rendezvous hashing among those that take new
+ * work.
  *
  * <p>Two planners at the same time are safe: of two conflicting records, every process rejects the
  * later. Thread-safe.
--- a/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/member/MembershipService.java
@@ -118,7 +118,7 @@
     return isLeaving;
   }
 
-  /** Pings every peer, so that {@link #view} soon has its current applied offset. */
+  /** Pings every peer for its applied offset, so that a waiting operator gets current values. */
   public void pingAll() {
     eventLoop.tryPost(() -> sendAll(membership.pingAll(System.nanoTime())));
   }
--- a/daemon/src/main/java/org/shoreroad/daemon/peer/ClaimResult.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/peer/ClaimResult.java
@@ -14,6 +14,8 @@
   LOST_STARTED,
   /** Another intent was first; its request ran to its end. */
   LOST_FINISHED,
-  /** The intent was not confirmed in the log in time; the request must not run under it. */
+  /**
+   * The intent was not confirmed in the log in time; the request must not run under this intent.
+   */
   UNAVAILABLE
 }
