--- a/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/DaemonModule.java
@@ -10,10 +10,10 @@
 import org.shoreroad.daemon.control.PlannerService;
 import org.shoreroad.daemon.gateway.GatewayService;
 import org.shoreroad.daemon.gateway.OwnerLink;
+import org.shoreroad.daemon.intent.IntentAppender;
 import org.shoreroad.daemon.intent.IntentClient;
-import org.shoreroad.daemon.intent.IntentKeeper;
 import org.shoreroad.daemon.kernel.Kernel;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.ops.OpsService;
 import org.shoreroad.daemon.owner.OwnerService;
@@ -24,7 +24,7 @@
 import org.shoreroad.daemon.platform.PlatformLog;
 import org.shoreroad.daemon.settings.Settings;
 
-/** Puts the services of a process together. */
+/** Provides the services of a process. */
 @Module
 final class DaemonModule {
   private DaemonModule() {}
@@ -47,18 +47,18 @@
     return new HttpBoxList(settings.boxesUrl());
   }
 
-  /** Returns the kernel; the order of the services is the order of their start. */
+  /** Returns the kernel with the services in start order. */
   @Provides
   @Singleton
   static Kernel kernel(
       Metrics metrics,
       PeerTransport transport,
       ControlAppender appender,
-      Members members,
+      MembershipService members,
       OwnerService owner,
-      OwnerLink link,
-      IntentKeeper keeper,
-      IntentClient intents,
+      OwnerLink ownerLink,
+      IntentAppender intentAppender,
+      IntentClient intentClient,
       PlannerService planner,
       CheckpointService checkpoint,
       ControlLog control,
@@ -73,9 +73,9 @@
             appender,
             members,
             owner,
-            link,
-            keeper,
-            intents,
+            ownerLink,
+            intentAppender,
+            intentClient,
             planner,
             checkpoint,
             control,
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsCalls.java
@@ -21,8 +21,8 @@
 import org.shoreroad.daemon.control.ControlLog;
 import org.shoreroad.daemon.control.PlannerService;
 import org.shoreroad.daemon.gateway.RequestTrace;
-import org.shoreroad.daemon.member.Contact;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.ContactPolicy;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.member.MembershipView;
 import org.shoreroad.daemon.owner.OwnerService;
 import org.shoreroad.daemon.owner.OwnerSnapshot;
@@ -35,7 +35,7 @@
 import org.shoreroad.state.Outcome;
 
 /**
- * What operators can ask of a process; each answer is turned into JSON.
+ * The calls of the operators' API of a process.
  *
  * <p>Thread-safe.
  *
@@ -49,8 +49,8 @@
   private final ControlLog control;
   private final ControlAppender appender;
   private final PlannerService planner;
-  private final Members members;
-  private final Contact contact;
+  private final MembershipService members;
+  private final ContactPolicy contact;
   private final OwnerService owner;
   private final RequestTrace trace;
 
@@ -61,8 +61,8 @@
       ControlLog control,
       ControlAppender appender,
       PlannerService planner,
-      Members members,
-      Contact contact,
+      MembershipService members,
+      ContactPolicy contact,
       OwnerService owner,
       RequestTrace trace) {
     this.settings = settings;
@@ -76,14 +76,14 @@
   }
 
   /**
-   * Answers a call.
+   * Runs a call.
    *
    * @param method the HTTP method
-   * @param call the call's name, and for some a name after a slash
+   * @param call the call's name, followed by a slash and an argument for some calls
    * @param parameters the query parameters
    * @param body the body
-   * @return what is to be turned into JSON
-   * @throws ShoreroadException if the call is unknown or refused
+   * @return the result, to be encoded as JSON
+   * @throws ShoreroadException if the call is unknown or rejected
    */
   public Object call(String method, String call, Map<String, String> parameters, String body) {
     String[] parts = call.split("/", 2);
@@ -101,7 +101,7 @@
       case "POST undrain" -> drain(argument, false);
       case "GET in-force" -> inForce(Long.parseLong(argument));
       case "GET explain" -> explain(argument);
-      default -> throw ShoreroadException.notRun(ErrorCode.NOT_FOUND, "no such call: " + name);
+      default -> throw ShoreroadException.notRun(ErrorCode.NOT_FOUND, "unknown call: " + name);
     };
   }
 
@@ -130,7 +130,7 @@
       row.put("status", isSelf ? "SELF" : view.statusOf(node.id()).name());
       row.put(
           "applied_offset",
-          isSelf ? state.appliedOffset() : view.appliedById().getOrDefault(node.id(), -1L));
+          isSelf ? state.appliedOffset() : view.appliedOffsetById().getOrDefault(node.id(), -1L));
       nodes.add(row);
     }
     answer.put("nodes", nodes);
@@ -139,8 +139,11 @@
 
   private List<Object> replicas() {
     List<Object> rows = new ArrayList<>();
-    Map<Long, OwnerSnapshot.ReplicaView> own = new LinkedHashMap<>();
-    owner.snapshot().replicas().forEach(view -> own.put(view.generation().number(), view));
+    Map<Long, OwnerSnapshot.ReplicaView> ownViewByGeneration = new LinkedHashMap<>();
+    owner
+        .snapshot()
+        .replicas()
+        .forEach(view -> ownViewByGeneration.put(view.generation().number(), view));
     for (Generation generation : control.state().generations().values()) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("generation", generation.number());
@@ -150,7 +153,7 @@
       row.put("boxes", generation.boxes().stream().map(Box::name).toList());
       row.put("held", generation.heldBoxes().stream().sorted().toList());
       row.put("owner", owner.owners().owner(generation.number()).map(Node::id).orElse("none"));
-      OwnerSnapshot.ReplicaView view = own.get(generation.number());
+      OwnerSnapshot.ReplicaView view = ownViewByGeneration.get(generation.number());
       if (view != null) {
         row.put("serving", view.isServing());
         row.put("running", view.running());
@@ -215,7 +218,7 @@
     if (file.baseVersion() == ConfigFile.NO_BASE) {
       throw ShoreroadException.notRun(
           ErrorCode.CONFIGURATION_INVALID,
-          "the file names no base_version; the current one is " + state.configVersion());
+          "the file has no base_version; the current one is " + state.configVersion());
     }
     ConfigChange change = ConfigChange.between(state.configuration(), file.configuration());
     Map<String, Object> answer = new LinkedHashMap<>();
@@ -237,7 +240,7 @@
             .join();
     if (outcome.isAccepted()) {
       LOG.infof(
-          "SR-0401 configuration %d by %s: %d entries",
+          "SR-0401 applied configuration %d by operator %s: %d entries",
           outcome.offset(), operator, change.keys().size());
       return outcome;
     }
@@ -261,16 +264,16 @@
     return Map.of("box", box, "draining", isDraining, "version", outcome.offset());
   }
 
-  /** Tells which working processes have not yet applied a version. */
+  /** Returns the working processes that have not yet applied a version. */
   private Map<String, Object> inForce(long version) {
-    members.refresh();
+    members.pingAll();
     MembershipView view = members.view();
     List<String> behind = new ArrayList<>();
     for (Node node : view.workingNodes()) {
       long applied =
           node.id().equals(settings.nodeId())
               ? control.state().appliedOffset()
-              : view.appliedById().getOrDefault(node.id(), -1L);
+              : view.appliedOffsetById().getOrDefault(node.id(), -1L);
       if (applied < version) {
         behind.add(node.id());
       }
@@ -286,7 +289,9 @@
                 () ->
                     ShoreroadException.notRun(
                         ErrorCode.NOT_FOUND,
-                        "this process does not remember " + requestId + "; ask the others"));
+                        "this process has no trace of request "
+                            + requestId
+                            + "; try the other processes"));
     long firstNanos = steps.get(0).atNanos();
     List<Object> rows = new ArrayList<>();
     for (RequestTrace.Step step : steps) {
--- a/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/ops/OpsService.java
@@ -22,16 +22,16 @@
 import org.shoreroad.daemon.control.ControlLog;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
-import org.shoreroad.daemon.member.Contact;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.ContactPolicy;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.settings.Settings;
 
 /**
- * Serves health checks, metrics and operators.
+ * Serves health checks, metrics and the operators' API over HTTP.
  *
- * <p>{@code /livez}, {@code /readyz} and {@code /metrics} are open; everything under {@code /ops/}
- * asks for the operator's token. Thread-safe.
+ * <p>{@code /livez}, {@code /readyz} and {@code /metrics} need no authentication; paths under
+ * {@code /ops/} require the operator token. Thread-safe.
  *
  * @since 0.1
  */
@@ -50,9 +50,9 @@
 
   private final Settings settings;
   private final Metrics metrics;
-  private final Members members;
+  private final MembershipService members;
   private final ControlLog control;
-  private final Contact contact;
+  private final ContactPolicy contact;
   private final OpsCalls calls;
   private final ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
   private @Nullable Undertow server;
@@ -62,9 +62,9 @@
   public OpsService(
       Settings settings,
       Metrics metrics,
-      Members members,
+      MembershipService members,
       ControlLog control,
-      Contact contact,
+      ContactPolicy contact,
       OpsCalls calls) {
     this.settings = settings;
     this.metrics = metrics;
@@ -108,7 +108,11 @@
     }
   }
 
-  /** Returns where operators are served, once started. */
+  /**
+   * Returns the address of the server.
+   *
+   * @throws IllegalStateException if it is not started
+   */
   public InetSocketAddress address() {
     Undertow started = server;
     if (started == null) {
@@ -162,7 +166,7 @@
       sendError(
           exchange,
           ShoreroadException.notRun(
-              ErrorCode.OPERATOR_UNKNOWN, "Authorization carries no operator's token"));
+              ErrorCode.OPERATOR_UNKNOWN, "the Authorization header has no valid operator token"));
       return;
     }
     try {
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnedReplica.java
@@ -13,8 +13,8 @@
 import org.shoreroad.ShoreroadException;
 import org.shoreroad.Verdict;
 import org.shoreroad.config.ModelSpec;
-import org.shoreroad.daemon.kernel.Duty;
-import org.shoreroad.daemon.member.Contact;
+import org.shoreroad.daemon.kernel.EventLoop;
+import org.shoreroad.daemon.member.ContactPolicy;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.request.Submission;
 import org.shoreroad.queue.DrainRate;
@@ -35,9 +35,9 @@
 
   private final ReplicaController controller;
   private final EngineClient engines;
-  private final Contact contact;
+  private final ContactPolicy contact;
   private final Metrics metrics;
-  private final Duty ownerThread;
+  private final EventLoop ownerThread;
   private final long probeNanos;
   private final FairQueue<PendingRequest> queue = new FairQueue<>(0);
   private final DrainRate drainRate;
@@ -50,9 +50,9 @@
   OwnedReplica(
       ReplicaController controller,
       EngineClient engines,
-      Contact contact,
+      ContactPolicy contact,
       Metrics metrics,
-      Duty ownerThread,
+      EventLoop ownerThread,
       long probeNanos,
       long nowNanos) {
     this.controller = controller;
--- a/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
+++ b/daemon/src/main/java/org/shoreroad/daemon/owner/OwnerService.java
@@ -17,11 +17,11 @@
 import org.shoreroad.config.ModelSpec;
 import org.shoreroad.daemon.control.ControlAppender;
 import org.shoreroad.daemon.control.ControlLog;
-import org.shoreroad.daemon.kernel.Duty;
+import org.shoreroad.daemon.kernel.EventLoop;
 import org.shoreroad.daemon.kernel.Kernel;
 import org.shoreroad.daemon.kernel.Service;
-import org.shoreroad.daemon.member.Contact;
-import org.shoreroad.daemon.member.Members;
+import org.shoreroad.daemon.member.ContactPolicy;
+import org.shoreroad.daemon.member.MembershipService;
 import org.shoreroad.daemon.metrics.Metrics;
 import org.shoreroad.daemon.peer.PeerListener;
 import org.shoreroad.daemon.peer.PeerMessage;
@@ -58,12 +58,12 @@
   private final Settings settings;
   private final ControlLog control;
   private final ControlAppender appender;
-  private final Members members;
-  private final Contact contact;
+  private final MembershipService members;
+  private final ContactPolicy contact;
   private final EngineClient engines;
   private final PeerTransport transport;
   private final Metrics metrics;
-  private final Duty ownerThread = new Duty(NAME, this::tick);
+  private final EventLoop ownerThread = new EventLoop(NAME, this::tick);
   private final Map<Long, OwnedReplica> replicas = new HashMap<>();
   private final String orderPrefix = UUID.randomUUID().toString().substring(0, 8) + "-";
   private final AtomicLong nextOrder = new AtomicLong();
@@ -83,8 +83,8 @@
       Settings settings,
       ControlLog control,
       ControlAppender appender,
-      Members members,
-      Contact contact,
+      MembershipService members,
+      ContactPolicy contact,
       EngineClient engines,
       PeerTransport transport,
       Metrics metrics) {
--- a/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
+++ b/daemon/src/test/java/org/shoreroad/daemon/peer/PeerTransportTest.java
@@ -27,7 +27,10 @@
 import org.shoreroad.member.Rumor;
 import org.shoreroad.state.Node;
 
-/** Messages arrive whole and in order; strangers get nowhere; what was not sent is said so. */
+/**
+ * Checks order and encoding of messages, authentication, and the report of lost links and unsent
+ * messages.
+ */
 class PeerTransportTest {
   private final Metrics metrics = new Metrics();
   private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
@@ -85,37 +88,38 @@
   }
 
   @Test
-  void testSend_inOrder() throws Exception {
+  void testSend_messagesArriveInOrder() throws Exception {
     for (int i = 0; i < 1_000; i++) {
-      a.send(b.self(), new PeerMessage.CatchUpAsk(i), () -> lost.add("not sent"));
+      a.send(b.self(), new PeerMessage.CatchUpRequest(i), () -> lost.add("not sent"));
     }
     for (int i = 0; i < 1_000; i++) {
-      assertThat(received.poll(10, TimeUnit.SECONDS), is(new PeerMessage.CatchUpAsk(i)));
+      assertThat(received.poll(10, TimeUnit.SECONDS), is(new PeerMessage.CatchUpRequest(i)));
     }
   }
 
   @Test
-  void testSend_nobodyThereIsNotSent() throws Exception {
+  void testSend_unreachablePeerIsReportedNotSent() throws Exception {
     CountDownLatch notSent = new CountDownLatch(1);
-    a.send(new Node("c", "127.0.0.1:1", "z"), new PeerMessage.CatchUpAsk(1), notSent::countDown);
+    a.send(
+        new Node("c", "127.0.0.1:1", "z"), new PeerMessage.CatchUpRequest(1), notSent::countDown);
     assertThat(notSent.await(10, TimeUnit.SECONDS), is(true));
   }
 
   @Test
-  void testDrop_isReportedAtTheOtherEnd() throws Exception {
-    a.send(b.self(), new PeerMessage.CatchUpAsk(1), () -> {});
+  void testDrop_lossIsReportedToPeer() throws Exception {
+    a.send(b.self(), new PeerMessage.CatchUpRequest(1), () -> {});
     received.poll(10, TimeUnit.SECONDS);
     a.drop("b");
     assertThat(lost.poll(10, TimeUnit.SECONDS), is("a"));
   }
 
   @Test
-  void testStranger_isRefusedAndCounted() throws Exception {
+  void testReceive_unauthenticatedPeerIsRefusedAndCounted() throws Exception {
     InetSocketAddress address = Settings.parseAddress("b", b.self().peerAddress());
-    byte[][] strangers = {
+    byte[][] invalidGreetings = {
       "GET / HTTP/1.1\r\n\r\n".getBytes(), {0, 0, 0, 2, 1, 1}, {0, 0, 0, 1, 0x55}
     };
-    for (byte[] bytes : strangers) {
+    for (byte[] bytes : invalidGreetings) {
       try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
         OutputStream out = socket.getOutputStream();
         out.write(bytes);
@@ -125,7 +129,7 @@
       }
     }
     PeerTransport wrong = start("w", "wrong");
-    wrong.send(b.self(), new PeerMessage.CatchUpAsk(7), () -> {});
+    wrong.send(b.self(), new PeerMessage.CatchUpRequest(7), () -> {});
     assertThat(received.poll(300, TimeUnit.MILLISECONDS) == null, is(true));
     wrong.stop();
     assertThat(
@@ -134,21 +138,21 @@
   }
 
   @Test
-  void testCodec_givesEveryMessageBack() {
-    MembershipMessage beat =
+  void testCodec_roundTripsMessages() {
+    MembershipMessage membershipMessage =
         new MembershipMessage(
             MembershipMessage.Type.ACK, 7, "s", 9, List.of(new Rumor("n", PeerStatus.SUSPECT, 3)));
     IntentRecord intent = new IntentRecord(IntentRecord.Type.STARTING, "i", "k");
     List<PeerMessage> messages =
         List.of(
             new PeerMessage.Hello(new Node("n", "h:1", "z"), "t"),
-            new PeerMessage.Beat(beat),
+            new PeerMessage.Membership(membershipMessage),
             new PeerMessage.Cancel("r"),
             new PeerMessage.Ended("r"),
             new PeerMessage.Failed("r", ErrorCode.QUEUE_FULL, Verdict.NOT_RUN, "m", 5),
-            new PeerMessage.CatchUpAsk(3),
-            new PeerMessage.ClaimAsk(1, 2, intent),
-            new PeerMessage.ClaimAnswer(1, ClaimResult.LOST_FINISHED));
+            new PeerMessage.CatchUpRequest(3),
+            new PeerMessage.ClaimRequest(1, 2, intent),
+            new PeerMessage.ClaimResponse(1, ClaimResult.LOST_FINISHED));
     for (PeerMessage message : messages) {
       assertThat(PeerCodec.fromBytes(PeerCodec.toBytes(message)), is(message));
     }
