--- a/bench/src/main/java/org/shoreroad/bench/Fleet.java
+++ b/bench/src/main/java/org/shoreroad/bench/Fleet.java
@@ -39,7 +39,7 @@
   }
 
   /** Returns the state in which the boxes are labelled and so many replicas are wanted. */
-  static ClusterState declared(List<ListedBox> boxes, int replicas, int weight, int accounts) {
+  static ClusterState configuredState(List<ListedBox> boxes, int replicas, int weight, int accounts) {
     List<ConfigEntry> entries = new ArrayList<>();
     entries.add(new ModelSpec("m", "1", BOXES_PER_REPLICA, replicas, true, LABELS, 16, 256));
     entries.add(new PolicySpec(weight));
@@ -55,7 +55,7 @@
   }
 
   /** Returns the state after the steps were taken by the log. */
-  static ClusterState take(ClusterState state, List<PlanStep> steps) {
+  static ClusterState applySteps(ClusterState state, List<PlanStep> steps) {
     ClusterState now = state;
     for (PlanStep step : steps) {
       long offset = now.appliedOffset() + 1;
--- a/bench/src/main/java/org/shoreroad/bench/PlacementBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementBench.java
@@ -74,8 +74,8 @@
     List<Slope.Point> points = new ArrayList<>();
     for (int size : SIZES) {
       List<ListedBox> boxes = Fleet.boxes(size, DOMAIN_BOXES + 1);
-      ClusterState state = Fleet.declared(boxes, size / 5, 0, 0);
-      state = Fleet.take(state, Planner.plan(state, boxes));
+      ClusterState state = Fleet.configuredState(boxes, size / 5, 0, 0);
+      state = Fleet.applySteps(state, Planner.plan(state, boxes));
       Generation lost = state.standingGenerations().get(0);
       long offset = state.appliedOffset() + 1;
       ClusterState broken =
--- a/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
@@ -64,7 +64,7 @@
     this.planner = planner;
     this.random = new Random(seed);
     this.replicas = replicas;
-    this.state = Fleet.declared(boxes, replicas, weight, 0);
+    this.state = Fleet.configuredState(boxes, replicas, weight, 0);
   }
 
   /** Runs a trace over so many days. */
--- a/bench/src/main/java/org/shoreroad/bench/PolicyBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/PolicyBench.java
@@ -27,7 +27,7 @@
           overload.bulletinP99WaitMs(),
           overload.bulletinsRefused(),
           overload.lookupsServed(),
-          QueuePolicies.crowd(isFair, SEED).jain());
+          QueuePolicies.unevenAccounts(isFair, SEED).jain());
     }
     report.title("retries: 30 s brownout to a fifth");
     for (boolean hasBudget : new boolean[] {false, true}) {
--- a/bench/src/main/java/org/shoreroad/bench/QueuePolicies.java
+++ b/bench/src/main/java/org/shoreroad/bench/QueuePolicies.java
@@ -93,7 +93,7 @@
   }
 
   /** Ten accounts, one of which sends ten times as much as each other one. */
-  static Result crowd(boolean isFair, long seed) {
+  static Result unevenAccounts(boolean isFair, long seed) {
     Map<String, Integer> accounts = new HashMap<>(Map.of("flood", 10));
     for (int i = 1; i < 10; i++) {
       accounts.put("a" + i, 1);
--- a/bench/src/main/java/org/shoreroad/bench/StateBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/StateBench.java
@@ -33,8 +33,8 @@
     for (int size : SIZES) {
       long before = usedHeap();
       List<ListedBox> boxes = Fleet.boxes(size, 16);
-      ClusterState declared = Fleet.declared(boxes, size / 6, 50, 0);
-      ClusterState state = Fleet.take(declared, Planner.plan(declared, boxes));
+      ClusterState declared = Fleet.configuredState(boxes, size / 6, 50, 0);
+      ClusterState state = Fleet.applySteps(declared, Planner.plan(declared, boxes));
       long used = usedHeap() - before;
       byte[] checkpoint = CheckpointCodec.toBytes(state);
       double applyMicros = Timing.medianNanos(ROUNDS, () -> applyMany(state)) / RECORDS / 1e3;
--- a/bench/src/test/java/org/shoreroad/bench/PolicyBoundsTest.java
+++ b/bench/src/test/java/org/shoreroad/bench/PolicyBoundsTest.java
@@ -25,8 +25,8 @@
 
   @Test
   void testQueue_floodTakesNoMoreThanItsShare() {
-    assertThat(QueuePolicies.crowd(true, SEED).jain(), greaterThan(0.95));
-    assertThat(QueuePolicies.crowd(false, SEED).jain(), lessThan(0.6));
+    assertThat(QueuePolicies.unevenAccounts(true, SEED).jain(), greaterThan(0.95));
+    assertThat(QueuePolicies.unevenAccounts(false, SEED).jain(), lessThan(0.6));
   }
 
   @Test
