--- a/bench/src/main/java/org/shoreroad/bench/QueuePolicies.java
+++ b/bench/src/main/java/org/shoreroad/bench/QueuePolicies.java
@@ -12,39 +12,39 @@
 import org.shoreroad.queue.QueuedItem;
 
 /**
- * One replica under overload, with the fair queue and with a plain first-in-first-out queue.
+ * Simulates an overloaded replica with the fair queue and with a first-in-first-out queue.
  *
- * <p>Time is simulated: the replica runs one request at a time and each takes its cost in
- * milliseconds.
+ * <p>Time is simulated: the replica runs one request at a time, and each takes its cost in
+ * milliseconds. Bulletins are urgent requests of priority 0, lookups have priority 5.
  */
 final class QueuePolicies {
   private static final int CAPACITY = 256;
   private static final int MEAN_COST = 20;
-  private static final long FAR = Long.MAX_VALUE / 4;
+  private static final long NO_DEADLINE_NANOS = Long.MAX_VALUE / 4;
 
   private QueuePolicies() {}
 
   /**
-   * What a run led to.
+   * The result of a run.
    *
-   * @param bulletinP99WaitMs how long all but one bulletin of a hundred waited at most
-   * @param bulletinsRefused how many bulletins found no place
-   * @param lookupsServed how many lookups were run
+   * @param bulletinP99WaitMs the 99th percentile of the wait of bulletins, in milliseconds
+   * @param bulletinsRefused the number of bulletins refused or displaced by a full queue
+   * @param lookupsServed the number of lookups run
    * @param jain the Jain index of the served cost over the accounts, 1 for equal shares
    */
   record Result(long bulletinP99WaitMs, int bulletinsRefused, int lookupsServed, double jain) {}
 
-  /** A request: when it came, whose and of which kind it is, and what it costs. */
+  /** A request with its arrival time and its cost, both in milliseconds, its account and kind. */
   private record Request(long atMs, String account, boolean isBulletin, int cost) {}
 
-  private interface Line {
-    /** Takes a request in; returns the one that is refused for it, if any. */
+  private interface RequestQueue {
+    /** Adds a request; returns the request that is refused or displaced, if any. */
     Optional<Request> offer(Request request);
 
     Optional<Request> poll();
   }
 
-  private static final class Fifo implements Line {
+  private static final class Fifo implements RequestQueue {
     private final ArrayDeque<Request> waiting = new ArrayDeque<>();
 
     @Override
@@ -62,7 +62,7 @@
     }
   }
 
-  private static final class Fair implements Line {
+  private static final class Fair implements RequestQueue {
     private final FairQueue<Request> queue = new FairQueue<>(CAPACITY);
 
     @Override
@@ -75,7 +75,7 @@
                   1,
                   request.isBulletin() ? 0 : 5,
                   request.cost(),
-                  FAR));
+                  NO_DEADLINE_NANOS));
       return offered.isAccepted()
           ? offered.displaced().map(QueuedItem::value)
           : Optional.of(request);
@@ -87,12 +87,12 @@
     }
   }
 
-  /** Lookups flood at one and a half times what the replica can do; a tenth are bulletins. */
+  /** Simulates 1.5 times the capacity of the replica, with a tenth of the requests bulletins. */
   static Result overload(boolean isFair, long seed) {
     return run(isFair ? new Fair() : new Fifo(), 1.5, Map.of("a", 1, "b", 1), 0.1, seed);
   }
 
-  /** Ten accounts, one of which sends ten times as much as each other one. */
+  /** Simulates ten accounts, one of which sends ten times as many requests as each other one. */
   static Result unevenAccounts(boolean isFair, long seed) {
     Map<String, Integer> accounts = new HashMap<>(Map.of("flood", 10));
     for (int i = 1; i < 10; i++) {
@@ -102,10 +102,15 @@
   }
 
   private static Result run(
-      Line line, double load, Map<String, Integer> shares, double bulletinShare, long seed) {
+      RequestQueue requestQueue,
+      double load,
+      Map<String, Integer> shares,
+      double bulletinShare,
+      long seed) {
     Random random = new Random(seed);
-    List<String> draw = new ArrayList<>();
-    shares.forEach((account, share) -> draw.addAll(java.util.Collections.nCopies(share, account)));
+    List<String> weightedAccounts = new ArrayList<>();
+    shares.forEach(
+        (account, share) -> weightedAccounts.addAll(java.util.Collections.nCopies(share, account)));
     Histogram bulletinWaits = new Histogram(3);
     Map<String, Long> servedCost = new HashMap<>();
     int refusedBulletins = 0;
@@ -116,14 +121,14 @@
         Request request =
             new Request(
                 nowMs,
-                draw.get(random.nextInt(draw.size())),
+                weightedAccounts.get(random.nextInt(weightedAccounts.size())),
                 random.nextDouble() < bulletinShare,
                 1 + random.nextInt(2 * MEAN_COST - 1));
-        Optional<Request> refused = line.offer(request);
+        Optional<Request> refused = requestQueue.offer(request);
         refusedBulletins += refused.isPresent() && refused.get().isBulletin() ? 1 : 0;
       }
       if (nowMs >= busyUntilMs) {
-        Optional<Request> next = line.poll();
+        Optional<Request> next = requestQueue.poll();
         if (next.isPresent()) {
           Request request = next.get();
           busyUntilMs = nowMs + request.cost();
--- a/bench/src/main/java/org/shoreroad/bench/RetryPolicies.java
+++ b/bench/src/main/java/org/shoreroad/bench/RetryPolicies.java
@@ -7,11 +7,11 @@
 import org.shoreroad.routing.RetryBudget;
 
 /**
- * An upstream through a brownout of thirty seconds, with the retry budget and with three retries
- * for each request.
+ * Simulates a brownout of an upstream for 30 seconds, with the retry budget and with three retries
+ * per request.
  *
- * <p>Time is simulated in milliseconds. The upstream takes what it can and refuses the rest; a
- * refusal costs it half of what an answer does, as it must still read the request.
+ * <p>Time is simulated in milliseconds. The upstream refuses requests beyond its capacity. A
+ * refusal costs half as much as an answer, as the upstream must still read the request.
  */
 final class RetryPolicies {
   private static final double ARRIVALS_PER_MS = 0.8;
@@ -28,16 +28,17 @@
   private RetryPolicies() {}
 
   /**
-   * What a run led to.
+   * The result of a run.
    *
-   * @param amplification attempts for each request during the brownout
-   * @param recoveryMs how long after the brownout until a second was 95 % good
+   * @param amplification the attempts per request during the brownout
+   * @param recoveryMs the time from the end of the brownout to the end of the first second in which
+   *     answers reach 95 % of the arrivals, in milliseconds
    */
   record Result(double amplification, long recoveryMs) {}
 
   private record Attempt(long atMs, int retriesLeft) {}
 
-  /** Runs the brownout. */
+  /** Simulates the brownout, with the retry budget or with three retries per request. */
   static Result run(boolean hasBudget, long seed) {
     Random random = new Random(seed);
     RetryBudget budget = new RetryBudget();
