--- a/bench/src/main/java/org/shoreroad/bench/FirstFit.java
+++ b/bench/src/main/java/org/shoreroad/bench/FirstFit.java
@@ -10,11 +10,11 @@
 import org.shoreroad.placement.PlanStep;
 import org.shoreroad.state.ClusterState;
 
-/** The baseline of the planner: the first fabric domain, by name, that has enough free boxes. */
+/** Baseline planner that takes the first fabric domain, by name, with enough free boxes. */
 final class FirstFit {
   private FirstFit() {}
 
-  /** Returns the formings that first-fit wants. */
+  /** Returns the steps that form the missing replicas of all models by first-fit. */
   static List<PlanStep> plan(ClusterState state, Collection<ListedBox> listed) {
     TreeMap<String, List<Box>> freeByDomain = new TreeMap<>();
     for (ListedBox box : listed) {
@@ -26,13 +26,13 @@
     }
     List<PlanStep> steps = new ArrayList<>();
     for (ModelSpec model : state.configuration().all(ModelSpec.class)) {
-      int lacking = model.replicas() - state.standingGenerations(model.name()).size();
+      int missing = model.replicas() - state.standingGenerations(model.name()).size();
       for (List<Box> free : freeByDomain.values()) {
-        while (lacking > 0 && free.size() >= model.boxesPerReplica()) {
-          List<Box> taken = free.subList(0, model.boxesPerReplica());
-          steps.add(new PlanStep.Form(model.name(), taken));
-          taken.clear();
-          lacking--;
+        while (missing > 0 && free.size() >= model.boxesPerReplica()) {
+          List<Box> chosen = free.subList(0, model.boxesPerReplica());
+          steps.add(new PlanStep.Form(model.name(), chosen));
+          chosen.clear();
+          missing--;
         }
       }
     }
--- a/bench/src/main/java/org/shoreroad/bench/PlacementBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementBench.java
@@ -13,7 +13,7 @@
 import org.shoreroad.state.LogRecord;
 import org.shoreroad.state.StateMachine;
 
-/** The planner against first-fit, and its time at growing sizes. */
+/** Compares the planner with first-fit, and measures its run time by the number of boxes. */
 final class PlacementBench {
   static final int REPLICAS = 30;
 
@@ -25,7 +25,7 @@
 
   private PlacementBench() {}
 
-  /** Returns domains of 4 to 11 boxes, 180 in all: room for 40 replicas. */
+  /** Returns 180 boxes in fabric domains of 4 to 11 boxes, with space for 40 replicas. */
   static List<ListedBox> fragmentedBoxes() {
     List<ListedBox> boxes = new ArrayList<>();
     for (int d = 0; d < 24; d++) {
@@ -69,7 +69,7 @@
         result.formings());
   }
 
-  /** Measures one plan after one box was lost, the rest standing. */
+  /** Measures a plan after the loss of one box, with all other replicas in place. */
   private static void planTimes(Report report) {
     List<Slope.Point> points = new ArrayList<>();
     for (int size : SIZES) {
--- a/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
+++ b/bench/src/main/java/org/shoreroad/bench/PlacementTrace.java
@@ -18,34 +18,35 @@
 import org.shoreroad.state.StateMachine;
 
 /**
- * Group downtime and stranded boxes of a planner under one seeded trace of failures.
+ * Simulates the group downtime and the stranded boxes of a planner in a seeded failure trace.
  *
- * <p>The rates are those of letter 1 for each box: 140 failures and 2,600 restarts a day among
- * 10,000 boxes, and one fabric domain a week. A failed box returns after four hours, a restarted
- * one after five minutes, a domain after an hour; a replica loads for five minutes.
+ * <p>The rates per box are those of the requirements (letter 1): 140 failures and 2,600 restarts a
+ * day among 10,000 boxes. One fabric domain fails each week. A failed box is back after four hours,
+ * a restarted box after five minutes and a fabric domain after one hour. A replica takes five
+ * minutes to load. Not thread-safe.
  */
 final class PlacementTrace {
   private static final int MINUTES_PER_DAY = 1_440;
   private static final double FAILURES_PER_BOX_MINUTE = 140.0 / 10_000 / MINUTES_PER_DAY;
   private static final double RESTARTS_PER_BOX_MINUTE = 2_600.0 / 10_000 / MINUTES_PER_DAY;
-  private static final double DOMAINS_PER_MINUTE = 1.0 / 7 / MINUTES_PER_DAY;
+  private static final double DOMAIN_FAILURES_PER_MINUTE = 1.0 / 7 / MINUTES_PER_DAY;
   private static final int FAILED_MINUTES = 240;
   private static final int RESTART_MINUTES = 5;
   private static final int DOMAIN_MINUTES = 60;
   private static final int LOAD_MINUTES = 5;
 
-  /** Plans steps from a state and the list of boxes. */
+  /** A planner, which derives steps from a state and the listed boxes. */
   @FunctionalInterface
   interface PlanFunction {
     List<PlanStep> plan(ClusterState state, Collection<ListedBox> listed);
   }
 
   /**
-   * What a trace led to.
+   * The result of a trace.
    *
-   * @param groupDowntimeMinutes over all wanted replicas, the minutes without it
-   * @param strandedBoxMinutes over all live boxes, the minutes outside a serving replica
-   * @param formings how many replicas were formed
+   * @param groupDowntimeMinutes the sum over all configured replicas of the minutes not serving
+   * @param strandedBoxMinutes the sum over all live boxes of the minutes outside a serving replica
+   * @param formings the number of replicas formed
    */
   record Result(long groupDowntimeMinutes, long strandedBoxMinutes, int formings) {}
 
@@ -67,7 +68,7 @@
     this.state = Fleet.configuredState(boxes, replicas, weight, 0);
   }
 
-  /** Runs a trace over so many days. */
+  /** Runs a trace of {@code days} simulated days. */
   static Result run(
       List<ListedBox> boxes, int replicas, int weight, PlanFunction planner, int days, long seed) {
     return new PlacementTrace(boxes, replicas, weight, planner, seed).run(days * MINUTES_PER_DAY);
@@ -78,7 +79,7 @@
     long stranded = 0;
     boolean isChanged = true;
     for (int minute = 0; minute < minutes; minute++) {
-      isChanged |= fail(minute);
+      isChanged |= drawFailures(minute);
       if (isChanged) {
         dissolveBroken(minute);
         release(minute);
@@ -97,11 +98,15 @@
     return new Result(downtime, stranded, formings);
   }
 
-  /** Draws the same numbers for every planner; returns true if a box went or came. */
-  private boolean fail(int minute) {
+  /**
+   * Draws the failures of a minute, with the same random numbers for every planner.
+   *
+   * @return true if a box failed or came back
+   */
+  private boolean drawFailures(int minute) {
     boolean isChanged = deadUntil.values().removeIf(until -> until <= minute);
     Set<String> domains = new HashSet<>();
-    if (random.nextDouble() < DOMAINS_PER_MINUTE) {
+    if (random.nextDouble() < DOMAIN_FAILURES_PER_MINUTE) {
       domains.add(boxes.get(random.nextInt(boxes.size())).box().fabricDomain());
     }
     for (ListedBox listed : boxes) {
--- a/bench/src/main/java/org/shoreroad/bench/RoutingPolicies.java
+++ b/bench/src/main/java/org/shoreroad/bench/RoutingPolicies.java
@@ -16,8 +16,8 @@
 import org.shoreroad.routing.UpstreamStats;
 
 /**
- * Ten upstreams with prompt caches, routed by load and prefix, by prefix alone, by load alone and
- * at random; optionally one of them is ten times slower.
+ * Simulates ten upstreams with prompt caches under four routing policies: by load and prefix, by
+ * prefix only, by load only, and at random. Optionally one upstream is ten times slower.
  *
  * <p>Time is simulated. A request whose prefix is cached takes a fifth of the time.
  */
@@ -34,30 +34,30 @@
 
   private RoutingPolicies() {}
 
-  /** How a request's upstream is chosen. */
+  /** The routing policy, which chooses the upstream of a request. */
   enum Policy {
-    /** As the gateway does it. */
+    /** By load and prefix, as in the gateway. */
     OURS,
-    /** The prefix's own upstream always. */
+    /** Always the upstream that the prefix hashes to. */
     AFFINITY,
-    /** The least loaded always. */
+    /** Always the upstream with the fewest requests in flight. */
     LEAST_LOADED,
-    /** Any. */
+    /** A random upstream. */
     RANDOM
   }
 
   /**
-   * What a run led to.
+   * The result of a run.
    *
    * @param hitShare the share of requests whose prefix was cached
-   * @param p99Ms the time of all but one request of a hundred, at most
+   * @param p99Ms the 99th percentile of the response time, in milliseconds
    * @param slowShare the share of requests that went to the slow upstream
    */
   record Result(double hitShare, long p99Ms, double slowShare) {}
 
-  private record Done(double atMs, String upstream, double tookMs) {}
+  private record Completion(double atMs, String upstream, double tookMs) {}
 
-  /** Runs a policy. */
+  /** Simulates a policy, optionally with one slow upstream. */
   static Result run(Policy policy, boolean isOneSlow, long seed) {
     Random random = new Random(seed);
     List<String> names = new ArrayList<>();
@@ -70,15 +70,16 @@
       caches.put("u" + i, new LinkedHashSet<>());
       slots.put("u" + i, new double[SLOTS]);
     }
-    PriorityQueue<Done> done = new PriorityQueue<>(Comparator.comparingDouble(Done::atMs));
+    PriorityQueue<Completion> completions =
+        new PriorityQueue<>(Comparator.comparingDouble(Completion::atMs));
     Histogram times = new Histogram(3);
     int hits = 0;
     int slow = 0;
     double now = 0;
     for (int i = 0; i < REQUESTS; i++) {
       now += -Math.log(1 - random.nextDouble()) * ARRIVAL_EVERY_MS;
-      while (!done.isEmpty() && done.peek().atMs() <= now) {
-        Done end = done.poll();
+      while (!completions.isEmpty() && completions.peek().atMs() <= now) {
+        Completion end = completions.poll();
         stats.computeIfPresent(end.upstream(), (n, s) -> s.withSuccess(end.tookMs()));
       }
       String prefix = "p" + (int) (PREFIXES * Math.pow(random.nextDouble(), 2));
@@ -87,8 +88,8 @@
       boolean isHit = touch(caches.get(chosen), prefix);
       boolean isSlow = isOneSlow && chosen.equals("u0");
       double serviceMs = SERVICE_MS * (isHit ? HIT_SHARE : 1) * (isSlow ? SLOW_FACTOR : 1);
-      double endMs = occupy(slots.get(chosen), now, serviceMs);
-      done.add(new Done(endMs, chosen, endMs - now));
+      double endMs = occupySlot(slots.get(chosen), now, serviceMs);
+      completions.add(new Completion(endMs, chosen, endMs - now));
       times.recordValue((long) (endMs - now));
       hits += isHit ? 1 : 0;
       slow += isSlow ? 1 : 0;
@@ -113,7 +114,7 @@
     };
   }
 
-  /** Looks a prefix up and makes it the youngest of the cache. */
+  /** Marks a prefix as most recently used; returns true if it was cached. */
   private static boolean touch(Set<String> cache, String prefix) {
     boolean isHit = cache.remove(prefix);
     cache.add(prefix);
@@ -123,7 +124,7 @@
     return isHit;
   }
 
-  private static double occupy(double[] freeAt, double now, double serviceMs) {
+  private static double occupySlot(double[] freeAt, double now, double serviceMs) {
     int first = 0;
     for (int i = 1; i < freeAt.length; i++) {
       first = freeAt[i] < freeAt[first] ? i : first;
