--- a/bench/src/main/java/org/shoreroad/bench/Fleet.java
+++ b/bench/src/main/java/org/shoreroad/bench/Fleet.java
@@ -17,7 +17,7 @@
 import org.shoreroad.state.Node;
 import org.shoreroad.state.StateMachine;
 
-/** Makes boxes, configurations and states of any size for the measurements. */
+/** Creates boxes, nodes and cluster states of a given size for the benchmarks. */
 final class Fleet {
   static final int BOXES_PER_REPLICA = 4;
 
@@ -26,7 +26,7 @@
 
   private Fleet() {}
 
-  /** Returns so many boxes, in domains of this many. */
+  /** Returns {@code count} boxes in fabric domains of {@code perDomain} boxes. */
   static List<ListedBox> boxes(int count, int perDomain) {
     List<ListedBox> boxes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -38,8 +38,9 @@
     return boxes;
   }
 
-  /** Returns the state in which the boxes are labelled and so many replicas are wanted. */
-  static ClusterState configuredState(List<ListedBox> boxes, int replicas, int weight, int accounts) {
+  /** Returns a state with labelled boxes, one model of {@code replicas} replicas and accounts. */
+  static ClusterState configuredState(
+      List<ListedBox> boxes, int replicas, int weight, int accounts) {
     List<ConfigEntry> entries = new ArrayList<>();
     entries.add(new ModelSpec("m", "1", BOXES_PER_REPLICA, replicas, true, LABELS, 16, 256));
     entries.add(new PolicySpec(weight));
@@ -54,7 +55,7 @@
     return StateMachine.apply(ClusterState.EMPTY, 1, record).state();
   }
 
-  /** Returns the state after the steps were taken by the log. */
+  /** Returns the state after the log records of the steps are applied. */
   static ClusterState applySteps(ClusterState state, List<PlanStep> steps) {
     ClusterState now = state;
     for (PlanStep step : steps) {
@@ -71,7 +72,7 @@
     return now;
   }
 
-  /** Returns so many processes over the zones. */
+  /** Returns {@code count} nodes, spread evenly over the availability zones. */
   static List<Node> nodes(int count) {
     List<Node> nodes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
--- a/bench/src/main/java/org/shoreroad/bench/Main.java
+++ b/bench/src/main/java/org/shoreroad/bench/Main.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Runs measurements: any of {@code placement}, {@code policy}, {@code state}, ... or all. */
+/** Command line entry point, which runs the benchmarks named in the arguments, or all of them. */
 @Command(name = "bench", description = "Measures decisions, slopes and the whole path.")
 public final class Main {
   private static final List<String> ALL =
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Replaces what stands between the two markers of the page. */
+  /** Replaces the text between the two markers of the page with the table of slopes. */
   private static void rewrite(Path page, Report report) throws IOException {
     String begin = "<!-- slopes:begin -->";
     String end = "<!-- slopes:end -->";
--- a/bench/src/main/java/org/shoreroad/bench/PolicyBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/PolicyBench.java
@@ -9,7 +9,7 @@
 import org.shoreroad.routing.UpstreamChooser;
 import org.shoreroad.routing.UpstreamStats;
 
-/** Queueing, retries and routing against their baselines, and what one decision costs. */
+/** Compares queueing, retries and routing with baselines, and measures the time per decision. */
 final class PolicyBench {
   private static final long SEED = 7;
   private static final int ROUNDS = 41;
@@ -76,6 +76,6 @@
                   return taken;
                 })
             / BATCH;
-    report.line("queueing in and out: %.0f ns", nanos);
+    report.line("enqueue and dequeue: %.0f ns", nanos);
   }
 }
--- a/bench/src/main/java/org/shoreroad/bench/Report.java
+++ b/bench/src/main/java/org/shoreroad/bench/Report.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Prints what is measured and remembers the slopes. */
+/** Prints the results and collects the slopes for the capacity page. Not thread-safe. */
 final class Report {
   private final PrintStream out;
   private final Map<String, Slope> slopes = new LinkedHashMap<>();
--- a/bench/src/main/java/org/shoreroad/bench/Slope.java
+++ b/bench/src/main/java/org/shoreroad/bench/Slope.java
@@ -4,22 +4,22 @@
 import java.util.Locale;
 
 /**
- * A straight line through measured points, by least squares.
+ * A straight line fitted to measured points by least squares.
  *
- * @param perUnit the slope
- * @param atZero the value at zero
- * @param worstResidualShare the greatest distance of a point from the line, as a share of its value
+ * @param perUnit the increase of the value per unit of size
+ * @param atZero the value of the line at size zero
+ * @param worstResidualShare the largest residual of a point, as a share of its measured value
  */
 public record Slope(double perUnit, double atZero, double worstResidualShare) {
   /**
    * A measured point.
    *
    * @param size the size
-   * @param value what was measured there
+   * @param value the value measured at this size
    */
   public record Point(double size, double value) {}
 
-  /** Returns the line through the points. */
+  /** Returns the least-squares line of the points. */
   public static Slope of(List<Point> points) {
     double n = points.size();
     double meanX = points.stream().mapToDouble(Point::size).sum() / n;
@@ -45,7 +45,7 @@
     return atZero + perUnit * size;
   }
 
-  /** Returns the line for people. */
+  /** Returns the line in readable form, with the worst residual in percent. */
   @Override
   public String toString() {
     return String.format(
--- a/bench/src/main/java/org/shoreroad/bench/Timing.java
+++ b/bench/src/main/java/org/shoreroad/bench/Timing.java
@@ -2,13 +2,13 @@
 
 import java.util.Arrays;
 
-/** Times a task: the median of some rounds after a warm-up. */
+/** Measures the median run time of a task after a warm-up of as many rounds. */
 final class Timing {
   private static volatile Object sink = "";
 
   private Timing() {}
 
-  /** A task whose result is kept, so that it is not optimised away. */
+  /** A task whose result is stored, so that the compiler cannot remove the work as dead code. */
   @FunctionalInterface
   interface Task {
     Object run();
@@ -29,7 +29,7 @@
     return nanos[rounds / 2];
   }
 
-  /** Returns the last result, for a reader that wants to see that it is used. */
+  /** Returns the last result, so that the stored result also has a reader. */
   static Object lastResult() {
     return sink;
   }
--- a/bench/src/main/java/org/shoreroad/bench/package-info.java
+++ b/bench/src/main/java/org/shoreroad/bench/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Measurements: each decision of the core against a plain baseline, the slopes behind
- * docs/CAPACITY.md, and the whole path against direct calls.
+ * Benchmarks: the policies of the core against simple baselines, the slopes for docs/CAPACITY.md,
+ * and the latency of the whole request path against direct calls.
  */
 @NullMarked
 package org.shoreroad.bench;
