--- a/bench/src/test/java/org/shoreroad/bench/PolicyBoundsTest.java
+++ b/bench/src/test/java/org/shoreroad/bench/PolicyBoundsTest.java
@@ -10,7 +10,7 @@
 import org.shoreroad.placement.ListedBox;
 import org.shoreroad.placement.Planner;
 
-/** Bounds on what the policies reach, in seeded runs that give the same figures every time. */
+/** Bounds on the results of the policies, in deterministic seeded runs. */
 class PolicyBoundsTest {
   private static final long SEED = 7;
 
@@ -24,13 +24,13 @@
   }
 
   @Test
-  void testQueue_floodTakesNoMoreThanItsShare() {
+  void testQueue_floodingAccountGetsOnlyItsShare() {
     assertThat(QueuePolicies.unevenAccounts(true, SEED).jain(), greaterThan(0.95));
     assertThat(QueuePolicies.unevenAccounts(false, SEED).jain(), lessThan(0.6));
   }
 
   @Test
-  void testRetries_brownoutIsNotAmplified() {
+  void testRetries_budgetLimitsAmplification() {
     RetryPolicies.Result ours = RetryPolicies.run(true, SEED);
     RetryPolicies.Result naive = RetryPolicies.run(false, SEED);
     assertThat(ours.amplification(), lessThan(1.12));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void testRouting_keepsCachesAndTails() {
+  void testRouting_cacheHitsAboveLeastLoadedAndTailWithinAffinity() {
     RoutingPolicies.Result ours = RoutingPolicies.run(RoutingPolicies.Policy.OURS, false, SEED);
     RoutingPolicies.Result load =
         RoutingPolicies.run(RoutingPolicies.Policy.LEAST_LOADED, false, SEED);
@@ -50,14 +50,14 @@
   }
 
   @Test
-  void testRouting_slowUpstreamHarmsFew() {
+  void testRouting_slowUpstreamGetsFewRequests() {
     RoutingPolicies.Result ours = RoutingPolicies.run(RoutingPolicies.Policy.OURS, true, SEED);
     RoutingPolicies.Result any = RoutingPolicies.run(RoutingPolicies.Policy.RANDOM, true, SEED);
     assertThat(ours.slowShare() * 4, lessThan(any.slowShare()));
   }
 
   @Test
-  void testPlacement_weightsDoWhatTheySay() {
+  void testPlacement_downtimeNoWorseThanFirstFit() {
     List<ListedBox> boxes = PlacementBench.fragmentedBoxes();
     PlacementTrace.Result downtime =
         PlacementTrace.run(boxes, PlacementBench.REPLICAS, 100, Planner::plan, 20, SEED);
