--- a/bench/src/main/java/org/shoreroad/bench/PathBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/PathBench.java
@@ -174,11 +174,15 @@
       }
     }
     for (double percentile : new double[] {50, 99}) {
-      long a = directTimes.getValueAtPercentile(percentile);
-      long b = relayedTimes.getValueAtPercentile(percentile);
+      long directMicros = directTimes.getValueAtPercentile(percentile);
+      long relayedMicros = relayedTimes.getValueAtPercentile(percentile);
       report.line(
           "p%.0f: direct %d us, through both hops %d us: %.1f times, %d us more",
-          percentile, a, b, b / (double) a, b - a);
+          percentile,
+          directMicros,
+          relayedMicros,
+          relayedMicros / (double) directMicros,
+          relayedMicros - directMicros);
     }
   }
 
@@ -234,7 +238,7 @@
 
   private void throughput(Report report) throws Exception {
     String url = gateway(notOwner());
-    AtomicLong whole = new AtomicLong();
+    AtomicLong receivedTokens = new AtomicLong();
     ExecutorService pool = Executors.newFixedThreadPool(LOAD_STREAMS);
     CountDownLatch ended = new CountDownLatch(LOAD_STREAMS * 4);
     Map<String, Long> before = daemonCpu();
@@ -243,7 +247,7 @@
       pool.execute(
           () -> {
             try {
-              whole.addAndGet(
+              receivedTokens.addAndGet(
                   call(url, "Bearer " + KEY, body(LOAD_TOKENS, true)) == 200 ? LOAD_TOKENS : 0);
             } catch (IOException e) {
               report.line("a stream broke: %s", e.getMessage());
@@ -265,7 +269,12 @@
     report.line(
         "%d tokens in %.1f s: %.0f tokens/s; daemon threads used %.2f core-seconds (%s ):"
             + " %.0f tokens/s per core",
-        whole.get(), seconds, whole.get() / seconds, cpuSeconds, parts, whole.get() / cpuSeconds);
+        receivedTokens.get(),
+        seconds,
+        receivedTokens.get() / seconds,
+        cpuSeconds,
+        parts,
+        receivedTokens.get() / cpuSeconds);
   }
 
   private static int daemonThreads() {
--- a/bench/src/main/java/org/shoreroad/bench/Report.java
+++ b/bench/src/main/java/org/shoreroad/bench/Report.java
@@ -5,7 +5,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Prints the results and collects the slopes for the capacity page. Not thread-safe. */
+/**
+ * Prints the results and collects the slopes for the capacity page.
+ *
+ * <p>Lines may be printed by any thread; slopes are added and read by one thread only.
+ */
 final class Report {
   private final PrintStream out;
   private final Map<String, Slope> slopes = new LinkedHashMap<>();
