--- a/bench/src/main/java/org/shoreroad/bench/StateBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/StateBench.java
@@ -15,7 +15,7 @@
 import org.shoreroad.state.RecordCodec;
 import org.shoreroad.state.StateMachine;
 
-/** What the applied state costs: bytes, time to apply, time to derive the owners. */
+/** Measures the size of the applied state, and the time to apply records and derive owners. */
 final class StateBench {
   private static final int[] SIZES = {400, 2_000, 10_000};
   private static final int ROUNDS = 21;
@@ -33,8 +33,8 @@
     for (int size : SIZES) {
       long before = usedHeap();
       List<ListedBox> boxes = Fleet.boxes(size, 16);
-      ClusterState declared = Fleet.declared(boxes, size / 6, 50, 0);
-      ClusterState state = Fleet.take(declared, Planner.plan(declared, boxes));
+      ClusterState declared = Fleet.configuredState(boxes, size / 6, 50, 0);
+      ClusterState state = Fleet.applySteps(declared, Planner.plan(declared, boxes));
       long used = usedHeap() - before;
       byte[] checkpoint = CheckpointCodec.toBytes(state);
       double applyMicros = Timing.medianNanos(ROUNDS, () -> applyMany(state)) / RECORDS / 1e3;
