--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
@@ -97,16 +97,16 @@
    * Returns the current observations of the boxes, and requests reports where they are needed.
    *
    * @param key the key of the service and the domain
-   * @param controller the controller of the domain
+   * @param reconciler the reconciler of the domain
    * @param boxes the boxes of the domain
    * @param suspected the heads whose requests make no progress
    */
   List<ObservedBox> observe(
-      String key, DomainReconciler controller, List<FleetBox> boxes, Set<String> suspected) {
+      String key, DomainReconciler reconciler, List<FleetBox> boxes, Set<String> suspected) {
     long nowNanos = clockNanos.getAsLong();
     boxes.forEach(this::addUnlistedHead);
     Set<String> suspectedMembers = findSuspectedMembers(boxes, suspected);
-    requestReports(key, controller, boxes, suspectedMembers, nowNanos);
+    requestReports(key, reconciler, boxes, suspectedMembers, nowNanos);
     List<ObservedBox> observedBoxes = new ArrayList<>();
     for (FleetBox box : boxes) {
       FleetBox newest = fleet.find(box.id());
@@ -216,17 +216,17 @@
   /** Requests reports from the boxes of a domain, each at the interval that its state needs. */
   private void requestReports(
       String key,
-      DomainReconciler controller,
+      DomainReconciler reconciler,
       List<FleetBox> boxes,
       Set<String> suspectedMembers,
       long nowNanos) {
-    if (controller.isBusy()) {
+    if (reconciler.isBusy()) {
       busyDomains.add(key);
     } else {
       busyDomains.remove(key);
     }
-    Map<String, Long> formingDueNanos = controller.formingDueNanos();
-    Set<String> closing = controller.closingHeadIds();
+    Map<String, Long> formingDueNanos = reconciler.formingDueNanos();
+    Set<String> closing = reconciler.closingHeadIds();
     for (FleetBox box : boxes) {
       String id = box.id();
       if (monitor.reachability().isSilent(id) || !fleet.isListed(id)) {
@@ -241,7 +241,7 @@
       } else if (closing.contains(id)) {
         monitor.requestReport(box, CLOSING_INTERVAL_NANOS, nowNanos);
       }
-      if (controller.needsReports()) {
+      if (reconciler.needsReports()) {
         monitor.requestReport(box, CONFIRMING_INTERVAL_NANOS, nowNanos);
       }
     }
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -69,7 +69,7 @@
   private final Function<UpstreamService, Demand> demands;
   private final FailureDetector failureDetector;
   private final DomainObserver observer;
-  private final Map<String, DomainReconciler> controllers = new HashMap<>();
+  private final Map<String, DomainReconciler> reconcilers = new HashMap<>();
   private final Map<String, Long> suspectedSinceNanos = new HashMap<>();
   private final Map<String, ServiceDomains> domainsByService = new HashMap<>();
   private long lastForgetNanos;
@@ -151,7 +151,7 @@
       return;
     }
     if (!leases.hasGrantedDomains()) {
-      controllers.clear();
+      reconcilers.clear();
       observer.forgetDomains();
       return;
     }
@@ -171,7 +171,7 @@
   /** Forgets a box that has ended or restarted, and with it the orders it was given. */
   public void forget(String id) {
     monitor.forget(id);
-    controllers.values().forEach(controller -> controller.forget(id));
+    reconcilers.values().forEach(reconciler -> reconciler.forget(id));
   }
 
   /** Returns the boxes that peers asked about and that do not answer this process either. */
@@ -217,7 +217,7 @@
       if (leases.holds(key)) {
         reconcileDomain(key, domain, engine, fleet.boxesOf(key), known.plan(), suspected, demand);
       } else {
-        controllers.remove(key);
+        reconcilers.remove(key);
         observer.forgetDomain(key);
       }
     }
@@ -269,14 +269,14 @@
       Set<String> suspected,
       Demand demand) {
     long nowNanos = clockNanos.getAsLong();
-    DomainReconciler controller =
-        controllers.computeIfAbsent(key, name -> startDomain(key, domain, boxes));
-    List<ObservedBox> observedBoxes = observer.observe(key, controller, boxes, suspected);
-    boolean neededReports = controller.needsReports();
-    controller
+    DomainReconciler reconciler =
+        reconcilers.computeIfAbsent(key, name -> startDomain(key, domain, boxes));
+    List<ObservedBox> observedBoxes = observer.observe(key, reconciler, boxes, suspected);
+    boolean neededReports = reconciler.needsReports();
+    reconciler
         .decide(nowNanos, engine, observedBoxes, plan, observer.headsSeen(), demand)
-        .forEach(order -> sendOrder(key, controller, engine, order));
-    if (controller.needsReports() && !neededReports) {
+        .forEach(order -> sendOrder(key, reconciler, engine, order));
+    if (reconciler.needsReports() && !neededReports) {
       // Sends the report requests at once.
       scheduleReconcile();
     }
@@ -294,7 +294,7 @@
   }
 
   private void sendOrder(
-      String key, DomainReconciler controller, EngineSpec engine, BoxOrder order) {
+      String key, DomainReconciler reconciler, EngineSpec engine, BoxOrder order) {
     FleetBox box = fleet.find(order.boxId());
     if (box == null) {
       return;
@@ -311,10 +311,10 @@
             return;
           }
           if (outcome == Engines.OrderOutcome.TAKEN) {
-            controller.recordAccepted(order, clockNanos.getAsLong());
+            reconciler.recordAccepted(order, clockNanos.getAsLong());
             monitor.applyAccepted(order, engine.reportLagMs());
           } else if (outcome == Engines.OrderOutcome.NOT_FITTING) {
-            controller.recordRejected(order, clockNanos.getAsLong());
+            reconciler.recordRejected(order, clockNanos.getAsLong());
           }
           logOrder(order, fence, outcome);
         });
