--- a/edge/src/main/java/org/shoreroad/edge/peer/HeartbeatCodec.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/HeartbeatCodec.java
@@ -63,7 +63,7 @@
       LimitReportCodec.pack(out, heartbeat.limitReports());
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("a buffer can't fail to be written", e);
+      throw new IllegalStateException("write to a memory buffer failed", e);
     }
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/peer/QuarantineRecord.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/QuarantineRecord.java
@@ -43,7 +43,7 @@
       CrashReportCodec.pack(out, List.of(report));
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("a buffer can't fail to be written", e);
+      throw new IllegalStateException("write to a memory buffer failed", e);
     }
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/peer/SuspicionNotice.java
+++ b/edge/src/main/java/org/shoreroad/edge/peer/SuspicionNotice.java
@@ -47,7 +47,7 @@
       }
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("a buffer can't fail to be written", e);
+      throw new IllegalStateException("write to a memory buffer failed", e);
     }
   }
 
