--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -315,7 +315,7 @@
    *
    * @return true if it could not be sent now but may be sent soon
    */
-  boolean onSilence(UpstreamLoad silent) {
+  boolean onStall(UpstreamLoad silent) {
     Attempt newest = attempts.newest();
     if (newest == null || newest.target().load() != silent || !canRepeat()) {
       return false;
--- a/edge/src/main/java/org/shoreroad/edge/relay/StallDetector.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/StallDetector.java
@@ -149,6 +149,6 @@
           load.waitingPromptTokens());
       suspicionListener.accept(headId);
     }
-    return exchange.onSilence(load);
+    return exchange.onStall(load);
   }
 }
