--- a/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
+++ b/edge/src/main/java/org/shoreroad/edge/ConfigurationView.java
@@ -4,7 +4,7 @@
 import java.util.function.LongSupplier;
 import org.jspecify.annotations.Nullable;
 import org.shoreroad.edge.peer.Heartbeat;
-import org.shoreroad.edge.relay.Freshness;
+import org.shoreroad.edge.relay.ConfigurationSource;
 import org.shoreroad.edge.sync.StorePosition;
 import org.shoreroad.edge.sync.StoreRecord;
 import org.shoreroad.edge.sync.TopicFollower;
@@ -18,7 +18,7 @@
  *
  * @since 0.2
  */
-public final class ConfigurationView implements Freshness, TopicFollower.Listener {
+public final class ConfigurationView implements ConfigurationSource, TopicFollower.Listener {
   /** Margin on the time to revoke a key, for the latency of a request and a late timer. */
   private static final int REVOKE_MARGIN_MS = 500;
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/Freshness.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/ConfigurationSource.java
@@ -8,7 +8,7 @@
  *
  * @since 0.2
  */
-public interface Freshness {
+public interface ConfigurationSource {
   /** Returns the configuration in force, or null if none was received yet. */
   @Nullable TrafficConfig config();
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
@@ -48,7 +48,7 @@
   private final HttpCalls calls;
   private final UpstreamSelector selector;
   private final StallDetector stalls;
-  private final Freshness freshness;
+  private final ConfigurationSource freshness;
   private final RelayRules rules;
   private final RequestQuarantine quarantine;
   private final Backpressure backpressure;
@@ -71,7 +71,7 @@
       HttpCalls calls,
       UpstreamSelector selector,
       StallDetector stalls,
-      Freshness freshness,
+      ConfigurationSource freshness,
       RelayRules rules,
       RequestQuarantine quarantine,
       Backpressure backpressure) {
@@ -223,7 +223,7 @@
     return backpressure;
   }
 
-  Freshness freshness() {
+  ConfigurationSource freshness() {
     return freshness;
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/FakeFreshness.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/FakeFreshness.java
@@ -4,7 +4,7 @@
 import org.shoreroad.traffic.TrafficConfig;
 
 /** Fixed configuration for tests, which set whether it is proved to be current. */
-final class FakeFreshness implements Freshness {
+final class FakeFreshness implements ConfigurationSource {
   private final @Nullable TrafficConfig config;
   boolean mayTrustKeys = true;
   boolean isProved = true;
