--- a/edge/src/test/java/org/shoreroad/edge/relay/FakeFreshness.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/FakeConfigurationSource.java
@@ -4,12 +4,12 @@
 import org.shoreroad.traffic.TrafficConfig;
 
 /** Fixed configuration for tests, which set whether it is proved to be current. */
-final class FakeFreshness implements ConfigurationSource {
+final class FakeConfigurationSource implements ConfigurationSource {
   private final @Nullable TrafficConfig config;
   boolean mayTrustKeys = true;
   boolean isProved = true;
 
-  FakeFreshness(@Nullable TrafficConfig config) {
+  FakeConfigurationSource(@Nullable TrafficConfig config) {
     this.config = config;
   }
 
--- a/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
@@ -85,7 +85,7 @@
   private final List<FakeUpstream> upstreams = new ArrayList<>();
   private final UpstreamTable table = new UpstreamTable(fleet, clockNanos, log);
   private final StallDetector stalls = new StallDetector(table, clockNanos, log);
-  final FakeFreshness freshness = new FakeFreshness(config(engine()));
+  final FakeConfigurationSource freshness = new FakeConfigurationSource(config(engine()));
   private final EdgeMetrics metrics = new EdgeMetrics();
   final RequestQuarantine quarantine = new RequestQuarantine(clockNanos, log, metrics);
   final Backpressure backpressure = new Backpressure(SELF, NAMES, clockNanos, log, metrics);
