--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -75,7 +75,7 @@
     }
     Admission admission =
         Admission.of(
-            relay.freshness(),
+            relay.configurationSource(),
             request.header(HttpHeaderNames.HOST.toString()),
             request.uri(),
             reader.key(),
@@ -107,7 +107,7 @@
 
   /** Returns true if there is no key, or if a revocation of it would be known here by now. */
   private boolean mayUseKey() {
-    return account == null || relay.freshness().mayTrustKeys();
+    return account == null || relay.configurationSource().mayTrustKeys();
   }
 
   /**
@@ -141,7 +141,7 @@
     Attempt next = new Attempt(this, relay, target.get(), relay.nowNanos());
     attempts.add(next);
     // The connections that the service permits are divided among all processes.
-    int connections = Math.max(2, chosen.maxConnections() / relay.freshness().processCount());
+    int connections = Math.max(2, chosen.maxConnections() / relay.configurationSource().processCount());
     next.start(chosen.maxConnections() == 0 ? Integer.MAX_VALUE : connections);
   }
 
@@ -307,7 +307,7 @@
     return service != null
         && relay
             .budgetOf(service.name())
-            .tryRepeat(relay.nowNanos(), relay.freshness().processCount());
+            .tryRepeat(relay.nowNanos(), relay.configurationSource().processCount());
   }
 
   /**
--- a/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
@@ -56,13 +56,13 @@
     fields.addAll(List.of("account", account == null ? "" : account.name()));
     fields.addAll(List.of("sends", sends.sent(), "tried", sends.triedIds()));
     fields.addAll(List.of("attemptsLeft", sends.attemptsLeft()));
-    fields.addAll(List.of("heldMs", heldMs, "configAgeMs", relay.freshness().configAgeMs()));
+    fields.addAll(List.of("heldMs", heldMs, "configAgeMs", relay.configurationSource().configAgeMs()));
     fields.addAll(List.of("configVersion", configVersion()));
     relay.log().write(event, fields.toArray());
   }
 
   private long configVersion() {
-    TrafficConfig config = relay.freshness().config();
+    TrafficConfig config = relay.configurationSource().config();
     return config == null ? NO_VERSION : config.version();
   }
 
--- a/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
@@ -48,7 +48,7 @@
   private final HttpCalls calls;
   private final UpstreamSelector selector;
   private final StallDetector stalls;
-  private final ConfigurationSource freshness;
+  private final ConfigurationSource configurationSource;
   private final RelayRules rules;
   private final RequestQuarantine quarantine;
   private final Backpressure backpressure;
@@ -84,7 +84,7 @@
     this.calls = calls;
     this.selector = selector;
     this.stalls = stalls;
-    this.freshness = freshness;
+    this.configurationSource = freshness;
     this.rules = rules;
     this.quarantine = quarantine;
     this.backpressure = backpressure;
@@ -223,7 +223,7 @@
     return backpressure;
   }
 
-  ConfigurationSource freshness() {
-    return freshness;
+  ConfigurationSource configurationSource() {
+    return configurationSource;
   }
 }
