--- a/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/LoopbackRelay.java
@@ -85,7 +85,7 @@
   private final List<FakeUpstream> upstreams = new ArrayList<>();
   private final UpstreamTable table = new UpstreamTable(fleet, clockNanos, log);
   private final StallDetector stalls = new StallDetector(table, clockNanos, log);
-  final FakeConfigurationSource freshness = new FakeConfigurationSource(config(engine()));
+  final FakeConfigurationSource configurationSource = new FakeConfigurationSource(config(engine()));
   private final EdgeMetrics metrics = new EdgeMetrics();
   final RequestQuarantine quarantine = new RequestQuarantine(clockNanos, log, metrics);
   final Backpressure backpressure = new Backpressure(SELF, NAMES, clockNanos, log, metrics);
@@ -152,7 +152,7 @@
             new HttpCalls(loop, clockNanos, 500),
             new UpstreamSelector(table, backpressure, clockNanos, new SplittableRandom(2), "z"),
             stalls,
-            freshness,
+            configurationSource,
             rules(),
             quarantine,
             backpressure);
--- a/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/RelayTest.java
@@ -170,7 +170,7 @@
   @Test
   void requestsAreRefusedWhileTheKeysAreOutdated() throws Exception {
     FakeUpstream upstream = upstream("i-1", (head, out, socket) -> true);
-    freshness.mayTrustKeys = false;
+    configurationSource.mayTrustKeys = false;
     String answer = call("/once/");
     assertThat(answer, startsWith("HTTP/1.1 503"));
     assertThat(answer.toLowerCase(), containsString("retry-after"));
@@ -179,7 +179,7 @@
 
   @Test
   void anUnknownKeyIsNotRejectedWhileTheConfigurationIsUnproved() throws Exception {
-    freshness.isProved = false;
+    configurationSource.isProved = false;
     assertThat(call("/once/", "wrong", ""), startsWith("HTTP/1.1 503"));
   }
 
