--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -184,9 +184,9 @@
     this.relay = makeRelay(loop, calls);
     this.lag = new LoopLag(log, UPDATE_INTERVAL_MS);
     this.failureDetector = new FailureDetector(clockNanos);
-    HubPlan.ProcessLocation place = new HubPlan.ProcessLocation(name, settings.zone());
+    HubPlan.ProcessLocation location = new HubPlan.ProcessLocation(name, settings.zone());
     this.mesh =
-        new PeerMesh(loop, clockNanos, log, place, new LocalHeartbeats(), this::applyHeartbeat);
+        new PeerMesh(loop, clockNanos, log, location, new LocalHeartbeats(), this::applyHeartbeat);
     this.leases = new DomainLeases(store, loop, elapsed::nowNanos, log, name, mesh, fleet::domains);
     this.replicas = makeReplicas(loop);
     this.callers =
@@ -196,7 +196,7 @@
             this::limits,
             relay,
             reason -> metrics.count("shoreroad.bad_input", reason));
-    this.processes = new ProcessRegistry(store, loop, log, mesh, place);
+    this.processes = new ProcessRegistry(store, loop, log, mesh, location);
     this.processFollower =
         follower(Topic.PROCESSES, PROCESS_WAIT_MS, this::processIntervalMs, processes);
     this.periodicUpdate = makePeriodicUpdate();
--- a/edge/src/main/java/org/shoreroad/edge/relay/Admission.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Admission.java
@@ -35,14 +35,14 @@
   /**
    * Decides on a request.
    *
-   * @param freshness the configuration and the age of its proof, not null
+   * @param configurationSource the configuration and the age of its proof, not null
    * @param host the host that the caller requested, not null
    * @param uri the path and the query, not null
    * @param key the caller's API key, or an empty string if there is none
    * @param draw a random number from 0 to 1 that selects one of the services of a route
    */
-  static Admission of(ConfigurationSource freshness, String host, String uri, String key, double draw) {
-    TrafficConfig config = freshness.config();
+  static Admission of(ConfigurationSource configurationSource, String host, String uri, String key, double draw) {
+    TrafficConfig config = configurationSource.config();
     if (config == null) {
       return new Admission(null, null, null, Refusal.NO_CONFIGURATION);
     }
@@ -56,10 +56,10 @@
     }
     ClientAccount account = config.findAccount(key).orElse(null);
     if (account == null && !route.allowsAnonymous()) {
-      Refusal refusal = freshness.isProved() ? Refusal.UNKNOWN_KEY : Refusal.KEYS_TOO_OLD;
+      Refusal refusal = configurationSource.isProved() ? Refusal.UNKNOWN_KEY : Refusal.KEYS_TOO_OLD;
       return new Admission(route, null, service, refusal);
     }
-    boolean isTooOld = account != null && !freshness.mayTrustKeys();
+    boolean isTooOld = account != null && !configurationSource.mayTrustKeys();
     return new Admission(route, account, service, isTooOld ? Refusal.KEYS_TOO_OLD : null);
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
@@ -71,7 +71,7 @@
       HttpCalls calls,
       UpstreamSelector selector,
       StallDetector stalls,
-      ConfigurationSource freshness,
+      ConfigurationSource configurationSource,
       RelayRules rules,
       RequestQuarantine quarantine,
       Backpressure backpressure) {
@@ -84,7 +84,7 @@
     this.calls = calls;
     this.selector = selector;
     this.stalls = stalls;
-    this.configurationSource = freshness;
+    this.configurationSource = configurationSource;
     this.rules = rules;
     this.quarantine = quarantine;
     this.backpressure = backpressure;
--- a/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
@@ -22,7 +22,7 @@
       new ClientAccount("office", Set.of("secret"), ClientAccount.NO_PRIORITY);
   private static final UpstreamService WEB = new UpstreamService("web", 100, null);
 
-  private final FakeConfigurationSource freshness = new FakeConfigurationSource(config(List.of(OFFICE)));
+  private final FakeConfigurationSource configurationSource = new FakeConfigurationSource(config(List.of(OFFICE)));
 
   private static Route route(String prefix, boolean allowsAnonymous) {
     return new Route(
@@ -50,7 +50,7 @@
   }
 
   private Admission admit(String uri, String key) {
-    return Admission.of(freshness, "h.example:80", uri, key, 0.5);
+    return Admission.of(configurationSource, "h.example:80", uri, key, 0.5);
   }
 
   @Test
@@ -72,21 +72,21 @@
   @Test
   void refusesAnUnknownKeyPermanentlyOnlyIfTheConfigurationIsProved() {
     assertThat(admit("/known/x", "other").refusal(), is(Refusal.UNKNOWN_KEY));
-    freshness.isProved = false;
+    configurationSource.isProved = false;
     assertThat(admit("/known/x", "other").refusal(), is(Refusal.KEYS_TOO_OLD));
   }
 
   @Test
   void refusesAKnownKeyTemporarilyWhileTheProofIsTooOld() {
-    freshness.mayTrustKeys = false;
+    configurationSource.mayTrustKeys = false;
     assertThat(admit("/known/x", "secret").refusal(), is(Refusal.KEYS_TOO_OLD));
     assertThat(admit("/open/x", "secret").refusal(), is(Refusal.KEYS_TOO_OLD));
   }
 
   @Test
   void anonymousCallersNeedNoProof() {
-    freshness.mayTrustKeys = false;
-    freshness.isProved = false;
+    configurationSource.mayTrustKeys = false;
+    configurationSource.isProved = false;
     Admission admission = admit("/open/x", "");
     assertThat(admission.refusal(), is(nullValue()));
     assertThat(admission.account(), is(nullValue()));
