--- a/core/src/main/java/org/shoreroad/intent/RequestKey.java
+++ b/core/src/main/java/org/shoreroad/intent/RequestKey.java
@@ -11,8 +11,8 @@
  * contains its creation time.
  *
  * <p>The log retains records for a limited time. A key older than the window is refused, because
- * after its record has expired it couldn't be told from a new key. The caller's clock need not be
- * right: the time in a key never changes and is compared only with the system's own clocks.
+ * after its record has expired it would look like a new key. The caller's clock need not be right:
+ * the time in a key never changes and is compared only with the system's own clocks.
  *
  * <p>This class is immutable and thread-safe.
  *
--- a/core/src/main/java/org/shoreroad/member/DomainClaims.java
+++ b/core/src/main/java/org/shoreroad/member/DomainClaims.java
@@ -10,7 +10,7 @@
 import org.shoreroad.routing.Rendezvous;
 
 /**
- * Decides which fabric domains this process claims and which it gives up.
+ * Decides which fabric domains this process claims and which it releases.
  *
  * <p>Ownership is sticky: a process that joins or leaves does not change the owner of a domain that
  * another live process owns. Each change of owner costs the domain 0.6 s without orders and one
@@ -41,7 +41,7 @@
   /** Maximum delay by owned domains, for the case that this process is the only one. */
   static final long MAX_OWNED_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** Minimum interval between two domains given up; a new owner needs about 1 s per domain. */
+  /** Minimum interval between two released domains; a new owner needs about 1 s per domain. */
   static final long GIVE_UP_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final String self;
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Returns a domain to give up, so that another process claims it, or empty while this process
+   * Returns a domain to release, so that another process claims it, or empty while this process
    * owns at most one domain more than its even share.
    *
    * @param nowNanos the steady clock
--- a/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
+++ b/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Tests of the domains that a process claims and gives up. */
+/** Tests of the domains that a process claims and releases. */
 class DomainClaimsTest {
   private static final Set<String> ONE = Set.of("d");
   private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
--- a/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
+++ b/edge/src/main/java/org/shoreroad/edge/EdgeProcess.java
@@ -82,7 +82,7 @@
   private static final int PEER_CONFIG_PROOF_MS = 3_000;
 
   /**
-   * Maximum random delay before a process that learns of a new store era, by other calls or from
+   * Maximum random delay before a process that detects a new store era, by other calls or from
    * peers, lists configuration and upstreams again. The 600 calls of 300 processes are spread,
    * since the store accepts 2,000 per second. A leaving upstream must be known within two seconds.
    */
--- a/edge/src/main/java/org/shoreroad/edge/RepeatingTimer.java
+++ b/edge/src/main/java/org/shoreroad/edge/RepeatingTimer.java
@@ -58,8 +58,8 @@
       task.run();
     } catch (RuntimeException | LinkageError e) {
       // A missing class must not end the repetition without a log line either.
-      String place = e.getStackTrace().length == 0 ? "" : e.getStackTrace()[0].toString();
-      log.write("task_failed", "task", name, "why", String.valueOf(e), "place", place);
+      String location = e.getStackTrace().length == 0 ? "" : e.getStackTrace()[0].toString();
+      log.write("task_failed", "task", name, "why", String.valueOf(e), "place", location);
     }
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Admission.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Admission.java
@@ -41,7 +41,8 @@
    * @param key the caller's API key, or an empty string if there is none
    * @param draw a random number from 0 to 1 that selects one of the services of a route
    */
-  static Admission of(ConfigurationSource configurationSource, String host, String uri, String key, double draw) {
+  static Admission of(
+      ConfigurationSource configurationSource, String host, String uri, String key, double draw) {
     TrafficConfig config = configurationSource.config();
     if (config == null) {
       return new Admission(null, null, null, Refusal.NO_CONFIGURATION);
--- a/edge/src/main/java/org/shoreroad/edge/relay/ConfigurationSource.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/ConfigurationSource.java
@@ -16,7 +16,7 @@
   boolean mayTrustKeys();
 
   /**
-   * Returns true if the configuration was proved a moment ago to be the newest, so that no other
+   * Returns true if the configuration was recently proved to be the newest, so that no other
    * process has an entry that it lacks.
    */
   boolean isProved();
--- a/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Exchange.java
@@ -31,7 +31,7 @@
  * @since 0.2
  */
 final class Exchange implements CallerExchange {
-  /** Plain upstreams complete requests about this often: three with six places, 20 ms a request. */
+  /** Plain upstreams complete requests about this often: three with six slots, 20 ms a request. */
   private static final int PLAIN_WAIT_MS = 20;
 
   private static final int MIN_DEADLINE_MS = 20;
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Returns how long a request may wait for a place, in nanoseconds. Engines admit and complete
-   * requests between passes, so when all places are taken, one becomes free within about a pass.
+   * Returns how long a request may wait for a free slot, in nanoseconds. Engines admit and complete
+   * requests between passes, so when all slots are taken, one becomes free within about a pass.
    */
   private long waitNanos() {
     ModelEngine modelEngine = engine;
@@ -141,17 +141,18 @@
     Attempt next = new Attempt(this, relay, target.get(), relay.nowNanos());
     attempts.add(next);
     // The connections that the service permits are divided among all processes.
-    int connections = Math.max(2, chosen.maxConnections() / relay.configurationSource().processCount());
+    int connections =
+        Math.max(2, chosen.maxConnections() / relay.configurationSource().processCount());
     next.start(chosen.maxConnections() == 0 ? Integer.MAX_VALUE : connections);
   }
 
   private void waitOrRefuse() {
     if (!attempts.isEmpty()) {
-      // A silent upstream still has the request.
+      // A stalled upstream still has the request.
       return;
     }
     boolean isHeldBack = targets.isHeldBack();
-    // A limit or rest rarely permits the next request as soon as a place would become free.
+    // A limit or rest rarely permits the next request as soon as a slot would become free.
     boolean mayWait = !isHeldBack && sends.sent() == 0 && relay.nowNanos() < waitUntilNanos;
     // A stream that has begun waits for another replica until the deadline.
     if (hasBegun() || mayWait) {
@@ -311,13 +312,13 @@
   }
 
   /**
-   * Sends the request to another upstream as well, because the one with this load is silent.
+   * Sends the request to another upstream as well, because the one with this load has stalled.
    *
    * @return true if it could not be sent now but may be sent soon
    */
-  boolean onStall(UpstreamLoad silent) {
+  boolean onStall(UpstreamLoad stalled) {
     Attempt newest = attempts.newest();
-    if (newest == null || newest.target().load() != silent || !canRepeat()) {
+    if (newest == null || newest.target().load() != stalled || !canRepeat()) {
       return false;
     }
     if (!newest.isSent() || isQuarantined() || !targets.isAnyFree() || !takeRepeat()) {
--- a/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/ExchangeLog.java
@@ -56,7 +56,8 @@
     fields.addAll(List.of("account", account == null ? "" : account.name()));
     fields.addAll(List.of("sends", sends.sent(), "tried", sends.triedIds()));
     fields.addAll(List.of("attemptsLeft", sends.attemptsLeft()));
-    fields.addAll(List.of("heldMs", heldMs, "configAgeMs", relay.configurationSource().configAgeMs()));
+    fields.addAll(
+        List.of("heldMs", heldMs, "configAgeMs", relay.configurationSource().configAgeMs()));
     fields.addAll(List.of("configVersion", configVersion()));
     relay.log().write(event, fields.toArray());
   }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
@@ -151,7 +151,8 @@
   }
 
   /**
-   * Adds a request that waits for a place at an upstream, to be tried again after a short delay.
+   * Adds a request that waits for a free slot at an upstream, to be tried again after a short
+   * delay.
    */
   void addWaiting(Exchange exchange) {
     waiting.add(exchange);
--- a/edge/src/main/java/org/shoreroad/edge/replica/EngineMonitor.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/EngineMonitor.java
@@ -44,7 +44,7 @@
     this.engines = engines;
   }
 
-  /** Sets the listener for changed heads, which other processes must learn of quickly. */
+  /** Sets the listener for changed heads, which other processes must receive quickly. */
   void setUrgentChangeListener(Runnable listener) {
     onUrgentChange = listener;
   }
--- a/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/ReplicaService.java
@@ -105,7 +105,7 @@
         new DomainObserver(clockNanos, fleet, monitor, failureDetector, alivePeers, stallMs);
   }
 
-  /** Sets the listener for changed heads, which other processes must learn of quickly. */
+  /** Sets the listener for changed heads, which other processes must receive quickly. */
   public void setUrgentChangeListener(Runnable listener) {
     monitor.setUrgentChangeListener(listener);
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -118,7 +118,7 @@
 
   /**
    * Sets the delay before the topic is listed again because another call or a peer has reported a
-   * new era. All processes learn of it at the same time and the store accepts a limited number of
+   * new era. All processes detect it at the same time and the store accepts a limited number of
    * calls, so the delays spread the listings.
    *
    * @param delayMs supplies a delay in milliseconds, a different one at each call, not null
--- a/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
@@ -22,7 +22,8 @@
       new ClientAccount("office", Set.of("secret"), ClientAccount.NO_PRIORITY);
   private static final UpstreamService WEB = new UpstreamService("web", 100, null);
 
-  private final FakeConfigurationSource configurationSource = new FakeConfigurationSource(config(List.of(OFFICE)));
+  private final FakeConfigurationSource configurationSource =
+      new FakeConfigurationSource(config(List.of(OFFICE)));
 
   private static Route route(String prefix, boolean allowsAnonymous) {
     return new Route(
@@ -64,7 +65,8 @@
   @Test
   void refusesARequestWithoutConfigurationOrRoute() {
     assertThat(
-        Admission.of(new FakeConfigurationSource(null), "h.example", "/known/x", "secret", 0.5).refusal(),
+        Admission.of(new FakeConfigurationSource(null), "h.example", "/known/x", "secret", 0.5)
+            .refusal(),
         is(Refusal.NO_CONFIGURATION));
     assertThat(admit("/nowhere", "secret").refusal(), is(Refusal.NO_ROUTE));
   }
@@ -91,7 +93,8 @@
     assertThat(admission.refusal(), is(nullValue()));
     assertThat(admission.account(), is(nullValue()));
     assertThat(
-        Admission.of(new FakeConfigurationSource(config(null)), "h.example", "/known/x", "", 0.5).refusal(),
+        Admission.of(new FakeConfigurationSource(config(null)), "h.example", "/known/x", "", 0.5)
+            .refusal(),
         is(nullValue()));
   }
 
