--- a/edge/src/main/java/org/shoreroad/edge/EventLog.java
+++ b/edge/src/main/java/org/shoreroad/edge/EventLog.java
@@ -105,7 +105,7 @@
       }
       generator.writeEndObject();
     } catch (IOException e) {
-      throw new IllegalStateException("writing to a string failed", e);
+      throw new IllegalStateException("write to a memory buffer failed", e);
     }
     return text.append('\n').toString();
   }
--- a/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
+++ b/edge/src/main/java/org/shoreroad/edge/http/WholeCall.java
@@ -77,7 +77,7 @@
     try {
       content.readBytes(body, content.readableBytes());
     } catch (IOException e) {
-      throw new IllegalStateException("writing to an array failed", e);
+      throw new IllegalStateException("write to a memory buffer failed", e);
     }
   }
 
