--- a/core/src/main/java/org/shoreroad/member/DomainClaims.java
+++ b/core/src/main/java/org/shoreroad/member/DomainClaims.java
@@ -49,7 +49,7 @@
   private final Map<String, Long> notBeforeNanos = new HashMap<>();
   private final Map<String, Integer> ranks = new HashMap<>();
   private Set<String> rankedProcesses = Set.of();
-  private long lastGivenUpNanos = Long.MIN_VALUE / 2;
+  private long lastReleasedNanos = Long.MIN_VALUE / 2;
 
   /**
    * Creates an instance without claims.
@@ -113,10 +113,10 @@
   public Optional<String> surplusDomain(
       long nowNanos, Set<String> owned, int domainCount, int processCount) {
     int evenShare = (domainCount + processCount - 1) / processCount;
-    if (owned.size() <= evenShare + 1 || nowNanos - lastGivenUpNanos < GIVE_UP_INTERVAL_NANOS) {
+    if (owned.size() <= evenShare + 1 || nowNanos - lastReleasedNanos < GIVE_UP_INTERVAL_NANOS) {
       return Optional.empty();
     }
-    lastGivenUpNanos = nowNanos;
+    lastReleasedNanos = nowNanos;
     Optional<String> domain = owned.stream().sorted().findFirst();
     domain.ifPresent(name -> postpone(name, nowNanos + GIVE_UP_INTERVAL_NANOS));
     return domain;
--- a/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
+++ b/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void surplusDomainsAreGivenUpOneAtATime() {
+  void surplusDomainsAreReleasedOneAtATime() {
     Set<String> owned = Set.of("a", "b", "c", "d");
     assertThat(claims.surplusDomain(0, owned, 4, 1), is(Optional.empty()));
     assertThat(claims.surplusDomain(0, owned, 4, 2), is(Optional.of("a")));
