--- a/core/src/main/java/org/shoreroad/member/DomainClaims.java
+++ b/core/src/main/java/org/shoreroad/member/DomainClaims.java
@@ -42,7 +42,7 @@
   static final long MAX_OWNED_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** Minimum interval between two released domains; a new owner needs about 1 s per domain. */
-  static final long GIVE_UP_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
+  static final long RELEASE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final String self;
   private final Map<String, Long> unownedSinceNanos = new HashMap<>();
@@ -113,12 +113,12 @@
   public Optional<String> surplusDomain(
       long nowNanos, Set<String> owned, int domainCount, int processCount) {
     int evenShare = (domainCount + processCount - 1) / processCount;
-    if (owned.size() <= evenShare + 1 || nowNanos - lastReleasedNanos < GIVE_UP_INTERVAL_NANOS) {
+    if (owned.size() <= evenShare + 1 || nowNanos - lastReleasedNanos < RELEASE_INTERVAL_NANOS) {
       return Optional.empty();
     }
     lastReleasedNanos = nowNanos;
     Optional<String> domain = owned.stream().sorted().findFirst();
-    domain.ifPresent(name -> postpone(name, nowNanos + GIVE_UP_INTERVAL_NANOS));
+    domain.ifPresent(name -> postpone(name, nowNanos + RELEASE_INTERVAL_NANOS));
     return domain;
   }
 
--- a/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
+++ b/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
@@ -88,7 +88,7 @@
     assertThat(claims.surplusDomain(0, owned, 4, 2), is(Optional.of("a")));
     assertThat(claims.surplusDomain(1, owned, 4, 2), is(Optional.empty()));
     assertThat(
-        claims.surplusDomain(DomainClaims.GIVE_UP_INTERVAL_NANOS, Set.of("b", "c", "d"), 4, 2),
+        claims.surplusDomain(DomainClaims.RELEASE_INTERVAL_NANOS, Set.of("b", "c", "d"), 4, 2),
         is(Optional.empty()));
   }
 }
