--- a/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/TopicFollower.java
@@ -194,7 +194,7 @@
     if (!isCoveredByPeers()) {
       logPeerUpdate(update);
     }
-    passOnRecords(update.records());
+    deliverRecords(update.records());
     if (update.end().hasReached(next)) {
       next = update.end();
     }
@@ -263,7 +263,7 @@
               listAgain();
               return;
             }
-            String lastKey = passOnListed(page, afterKey);
+            String lastKey = deliverListed(page, afterKey);
             // The pages are no snapshot: changes since the first page are read after the listing.
             if (page.hasMore() && !page.records().isEmpty()) {
               readNewest(lastKey, end, startedNanos, ofListing);
@@ -279,8 +279,8 @@
         });
   }
 
-  /** Passes on the records of a listing; returns the last key. */
-  private String passOnListed(StorePage page, String afterKey) {
+  /** Delivers the records of a listing to the listener; returns the last key. */
+  private String deliverListed(StorePage page, String afterKey) {
     String lastKey = afterKey;
     for (StoreRecord record : page.records()) {
       listedKeys.add(record.key());
@@ -333,7 +333,7 @@
               listAgain();
               return;
             }
-            passOnRecords(page.records());
+            deliverRecords(page.records());
             provenNanos = Math.max(provenNanos, sentNanos);
             long spentMs = TimeUnit.NANOSECONDS.toMillis(clockNanos.getAsLong() - sentNanos);
             readNextAfter(Math.max(0, minIntervalMs.getAsInt() - spentMs), ofListing);
@@ -375,7 +375,7 @@
               noteEra(page.end().era());
               return;
             }
-            passOnRecords(page.records());
+            deliverRecords(page.records());
             if (next.hasReached(page.end())) {
               provenNanos = Math.max(provenNanos, sentNanos);
             }
@@ -389,7 +389,7 @@
         });
   }
 
-  private void passOnRecords(List<StoreRecord> records) {
+  private void deliverRecords(List<StoreRecord> records) {
     for (StoreRecord record : records) {
       if (record.position().hasReached(next)) {
         listener.onRecord(record);
--- a/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/replica/ReplicaServiceTest.java
@@ -343,7 +343,7 @@
     engines.memberships.put(id, new Membership(replica, 1, MemberState.READY));
     list("a");
     listWithWeights("b", 1);
-    // It has left another replica, so it needs no warmup.
+    // It has left another replica, so it needs no warm-up.
     Membership former = new Membership(new ReplicaId("former", 1), 1, MemberState.READY);
     fleet.update(fleet.find("b").withEngineState("m", List.of("m"), former));
     fleet.update(fleet.find("b").withEngineState(null, List.of("m"), null));
