--- a/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
+++ b/core/src/main/java/org/shoreroad/fleet/DomainReconciler.java
@@ -140,7 +140,7 @@
   private void reconcileReplica(
       ObservedReplica replica, EngineSpec spec, Set<ReplicaId> headsSeen, long nowNanos) {
     ObservedBox head = replica.head();
-    if (warmups.isUnderWay(replica)) {
+    if (warmups.isInProgress(replica)) {
       view.bind(replica.members());
     } else if (head == null) {
       bindHeadlessMembers(replica, headsSeen, nowNanos);
--- a/core/src/main/java/org/shoreroad/fleet/SpareWarmup.java
+++ b/core/src/main/java/org/shoreroad/fleet/SpareWarmup.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns true if the replica is a warm-up in progress, which must not be dissolved. */
-  boolean isUnderWay(ObservedReplica replica) {
+  boolean isInProgress(ObservedReplica replica) {
     ObservedBox head = replica.head();
     return sinceNanos.containsKey(replica.replica())
         && head != null
