--- a/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
+++ b/edge/src/main/java/org/shoreroad/edge/replica/DomainObserver.java
@@ -191,7 +191,8 @@
     boolean isSteady = reachability.isSteady(box.id(), replicaBreakNanos, nowNanos);
     boolean isConfirmed = reachability.hasReport(box.id(), CONFIRMED_NANOS, nowNanos);
     String lastModel = fleet.lastModel(box.id());
-    // A box whose entry was removed continues to serve for a while, like one that announced its end.
+    // A box whose entry was removed continues to serve for a while, like one that announced its
+    // end.
     FleetBox seen = fleet.isEligible(box.id()) ? box : box.withLeaving();
     return new ObservedBox(seen, isListed, reached, isSteady, isConfirmed, isStalled, lastModel);
   }
--- a/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
+++ b/edge/src/main/java/org/shoreroad/edge/sync/DomainLeases.java
@@ -186,7 +186,7 @@
           .forEach(this::checkThenClaim);
       claims
           .surplusDomain(nowNanos, grantedDomains(), all.size(), peers.aliveCount())
-          .ifPresent(this::handOver);
+          .ifPresent(this::releaseDomain);
     }
     notifyIfChanged();
   }
@@ -210,7 +210,7 @@
             });
   }
 
-  private void handOver(String domain) {
+  private void releaseDomain(String domain) {
     log.write("domain_handed_on", "domain", domain);
     leaseOf(domain).leave();
     leases.remove(domain);
