--- a/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
+++ b/core/src/test/java/org/shoreroad/member/DomainClaimsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Tests of the domains that a process claims and gives up. */
+/** Tests of the domains that a process claims and releases. */
 class DomainClaimsTest {
   private static final Set<String> ONE = Set.of("d");
   private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
@@ -82,13 +82,13 @@
   }
 
   @Test
-  void surplusDomainsAreGivenUpOneAtATime() {
+  void surplusDomainsAreReleasedOneAtATime() {
     Set<String> owned = Set.of("a", "b", "c", "d");
     assertThat(claims.surplusDomain(0, owned, 4, 1), is(Optional.empty()));
     assertThat(claims.surplusDomain(0, owned, 4, 2), is(Optional.of("a")));
     assertThat(claims.surplusDomain(1, owned, 4, 2), is(Optional.empty()));
     assertThat(
-        claims.surplusDomain(DomainClaims.GIVE_UP_INTERVAL_NANOS, Set.of("b", "c", "d"), 4, 2),
+        claims.surplusDomain(DomainClaims.RELEASE_INTERVAL_NANOS, Set.of("b", "c", "d"), 4, 2),
         is(Optional.empty()));
   }
 }
--- a/edge/src/main/java/org/shoreroad/edge/relay/Freshness.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/ConfigurationSource.java
@@ -8,7 +8,7 @@
  *
  * @since 0.2
  */
-public interface Freshness {
+public interface ConfigurationSource {
   /** Returns the configuration in force, or null if none was received yet. */
   @Nullable TrafficConfig config();
 
@@ -16,7 +16,7 @@
   boolean mayTrustKeys();
 
   /**
-   * Returns true if the configuration was proved a moment ago to be the newest, so that no other
+   * Returns true if the configuration was recently proved to be the newest, so that no other
    * process has an entry that it lacks.
    */
   boolean isProved();
--- a/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
+++ b/edge/src/main/java/org/shoreroad/edge/relay/Relay.java
@@ -48,7 +48,7 @@
   private final HttpCalls calls;
   private final UpstreamSelector selector;
   private final StallDetector stalls;
-  private final Freshness freshness;
+  private final ConfigurationSource configurationSource;
   private final RelayRules rules;
   private final RequestQuarantine quarantine;
   private final Backpressure backpressure;
@@ -71,7 +71,7 @@
       HttpCalls calls,
       UpstreamSelector selector,
       StallDetector stalls,
-      Freshness freshness,
+      ConfigurationSource configurationSource,
       RelayRules rules,
       RequestQuarantine quarantine,
       Backpressure backpressure) {
@@ -84,7 +84,7 @@
     this.calls = calls;
     this.selector = selector;
     this.stalls = stalls;
-    this.freshness = freshness;
+    this.configurationSource = configurationSource;
     this.rules = rules;
     this.quarantine = quarantine;
     this.backpressure = backpressure;
@@ -151,7 +151,8 @@
   }
 
   /**
-   * Adds a request that waits for a place at an upstream, to be tried again after a short delay.
+   * Adds a request that waits for a free slot at an upstream, to be tried again after a short
+   * delay.
    */
   void addWaiting(Exchange exchange) {
     waiting.add(exchange);
@@ -223,7 +224,7 @@
     return backpressure;
   }
 
-  Freshness freshness() {
-    return freshness;
+  ConfigurationSource configurationSource() {
+    return configurationSource;
   }
 }
--- a/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
+++ b/edge/src/test/java/org/shoreroad/edge/relay/AdmissionTest.java
@@ -22,7 +22,8 @@
       new ClientAccount("office", Set.of("secret"), ClientAccount.NO_PRIORITY);
   private static final UpstreamService WEB = new UpstreamService("web", 100, null);
 
-  private final FakeFreshness freshness = new FakeFreshness(config(List.of(OFFICE)));
+  private final FakeConfigurationSource configurationSource =
+      new FakeConfigurationSource(config(List.of(OFFICE)));
 
   private static Route route(String prefix, boolean allowsAnonymous) {
     return new Route(
@@ -50,7 +51,7 @@
   }
 
   private Admission admit(String uri, String key) {
-    return Admission.of(freshness, "h.example:80", uri, key, 0.5);
+    return Admission.of(configurationSource, "h.example:80", uri, key, 0.5);
   }
 
   @Test
@@ -64,7 +65,8 @@
   @Test
   void refusesARequestWithoutConfigurationOrRoute() {
     assertThat(
-        Admission.of(new FakeFreshness(null), "h.example", "/known/x", "secret", 0.5).refusal(),
+        Admission.of(new FakeConfigurationSource(null), "h.example", "/known/x", "secret", 0.5)
+            .refusal(),
         is(Refusal.NO_CONFIGURATION));
     assertThat(admit("/nowhere", "secret").refusal(), is(Refusal.NO_ROUTE));
   }
@@ -72,26 +74,27 @@
   @Test
   void refusesAnUnknownKeyPermanentlyOnlyIfTheConfigurationIsProved() {
     assertThat(admit("/known/x", "other").refusal(), is(Refusal.UNKNOWN_KEY));
-    freshness.isProved = false;
+    configurationSource.isProved = false;
     assertThat(admit("/known/x", "other").refusal(), is(Refusal.KEYS_TOO_OLD));
   }
 
   @Test
   void refusesAKnownKeyTemporarilyWhileTheProofIsTooOld() {
-    freshness.mayTrustKeys = false;
+    configurationSource.mayTrustKeys = false;
     assertThat(admit("/known/x", "secret").refusal(), is(Refusal.KEYS_TOO_OLD));
     assertThat(admit("/open/x", "secret").refusal(), is(Refusal.KEYS_TOO_OLD));
   }
 
   @Test
   void anonymousCallersNeedNoProof() {
-    freshness.mayTrustKeys = false;
-    freshness.isProved = false;
+    configurationSource.mayTrustKeys = false;
+    configurationSource.isProved = false;
     Admission admission = admit("/open/x", "");
     assertThat(admission.refusal(), is(nullValue()));
     assertThat(admission.account(), is(nullValue()));
     assertThat(
-        Admission.of(new FakeFreshness(config(null)), "h.example", "/known/x", "", 0.5).refusal(),
+        Admission.of(new FakeConfigurationSource(config(null)), "h.example", "/known/x", "", 0.5)
+            .refusal(),
         is(nullValue()));
   }
 
