--- a/bench/src/main/java/org/shoreroad/bench/BenchDaemon.java
+++ b/bench/src/main/java/org/shoreroad/bench/BenchDaemon.java
@@ -4,11 +4,11 @@
 import org.shoreroad.daemon.Daemon;
 import org.shoreroad.daemon.settings.Settings;
 
-/** Starts daemons for the measurements, in this process and on free ports. */
+/** Starts daemons for the benchmarks in this process, on free ports. */
 final class BenchDaemon {
   private BenchDaemon() {}
 
-  /** Starts a daemon of one zone with standard times. */
+  /** Starts a daemon in availability zone {@code z} with the default time settings. */
   static Daemon start(String nodeId, String logUrl, String boxesUrl) {
     String[] args = {
       "--node-id=" + nodeId,
--- a/bench/src/main/java/org/shoreroad/bench/FleetBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/FleetBench.java
@@ -16,8 +16,8 @@
 import org.shoreroad.standins.LogServer;
 
 /**
- * Several whole daemons in one process: from a change of configuration to its being in force at
- * all, and what an idle daemon costs.
+ * Measures how long a configuration change takes to be in force at all daemons, and the cost of an
+ * idle daemon, with several daemons in one process.
  */
 final class FleetBench {
   private static final int[] SIZES = {3, 9, 27};
@@ -100,7 +100,7 @@
       }
       Thread.sleep(20);
     }
-    throw new IllegalStateException("the daemons did not find each other");
+    throw new IllegalStateException("not all daemons became ALIVE");
   }
 
   private long apply(long base, int number) throws IOException {
--- a/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/MembershipBench.java
@@ -11,7 +11,8 @@
 import org.shoreroad.member.SwimMembership;
 
 /**
- * Heartbeats between many processes over a network in memory: bytes, time, and noticing a death.
+ * Measures the bytes and processor time of heartbeats, and the failure detection time, with many
+ * processes on a simulated network.
  */
 final class MembershipBench {
   private static final int[] SIZES = {9, 27, 81, 243, 810};
@@ -50,18 +51,18 @@
     List<Slope.Point> bytesPoints = new ArrayList<>();
     for (int size : SIZES) {
       MembershipBench bench = new MembershipBench(size);
-      bench.steps(WARM_UP_STEPS);
+      bench.runSteps(WARM_UP_STEPS);
       bench.bytes = 0;
       long begun = System.nanoTime();
-      bench.steps(MEASURED_STEPS);
+      bench.runSteps(MEASURED_STEPS);
       double seconds = MEASURED_STEPS * STEP_NANOS / 1e9;
       double perNode = bench.bytes / seconds / size;
       double cpuShare = (System.nanoTime() - begun) / 1e9 / seconds / size;
-      double noticedSeconds = bench.kill(size / 2);
+      double detectionSeconds = bench.kill(size / 2);
       report.line(
-          "%d processes: %.0f bytes/s sent by each, %.4f %% of a core each; a death is believed by"
-              + " all after %.1f s",
-          size, perNode, cpuShare * 100, noticedSeconds);
+          "%d processes: %.0f bytes/s sent by each, %.4f %% of a core each; a failed one is"
+              + " marked dead by all after %.1f s",
+          size, perNode, cpuShare * 100, detectionSeconds);
       bytesPoints.add(new Slope.Point(size, perNode));
     }
     report.slope("heartbeat bytes/s of one process", "processes", Slope.of(bytesPoints));
@@ -72,19 +73,19 @@
     String id = "n-0123abcd" + index;
     long begunNanos = nowNanos;
     for (int step = 0; step < MAX_STEPS; step++) {
-      steps(1);
-      boolean isKnown = true;
-      for (int i = 0; i < nodes.size() && isKnown; i++) {
-        isKnown = i == index || nodes.get(i).statusOf(id) == PeerStatus.DEAD;
+      runSteps(1);
+      boolean isDeadEverywhere = true;
+      for (int i = 0; i < nodes.size() && isDeadEverywhere; i++) {
+        isDeadEverywhere = i == index || nodes.get(i).statusOf(id) == PeerStatus.DEAD;
       }
-      if (isKnown) {
+      if (isDeadEverywhere) {
         break;
       }
     }
     return (nowNanos - begunNanos) / 1e9;
   }
 
-  private void steps(int count) {
+  private void runSteps(int count) {
     for (int step = 0; step < count; step++) {
       nowNanos += STEP_NANOS;
       List<Message> arriving = inFlight;
--- a/bench/src/main/java/org/shoreroad/bench/PathBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/PathBench.java
@@ -23,9 +23,9 @@
 import org.shoreroad.standins.LogServer;
 
 /**
- * The whole path against direct calls to the same engine stand-in.
+ * Compares calls through gateway and owner with direct calls to the same engine stand-in.
  *
- * <p>Everything runs in one process; processor time is told apart by the names of threads.
+ * <p>Everything runs in one process, so thread names determine whose processor time is counted.
  */
 final class PathBench implements AutoCloseable {
   private static final MediaType JSON = MediaType.get("application/json");
@@ -114,7 +114,7 @@
         + "/v1/chat/completions";
   }
 
-  /** Returns a daemon that does not own the replica, so that both hops are taken. */
+  /** Returns a daemon that does not own the replica, so that calls pass gateway and owner. */
   private int notOwner() throws IOException {
     for (int i = 0; i < DAEMONS; i++) {
       Request request = new Request.Builder().url(ops(i) + "/metrics").build();
@@ -152,30 +152,30 @@
 
   private void latency(Report report) throws Exception {
     String url = gateway(notOwner());
-    String headLoad =
+    String loadName =
         history.events().stream()
             .filter(e -> e.kind().equals("load") && e.box().equals("b1"))
             .findFirst()
             .orElseThrow()
             .name();
-    String direct = "http://" + engines.get(0).address() + "/v1/chat/completions";
-    String directBody = body(1, false).replace("\"m\"", "\"" + headLoad + "\"");
-    Histogram ours = new Histogram(3);
-    Histogram theirs = new Histogram(3);
+    String directUrl = "http://" + engines.get(0).address() + "/v1/chat/completions";
+    String directBody = body(1, false).replace("\"m\"", "\"" + loadName + "\"");
+    Histogram relayedTimes = new Histogram(3);
+    Histogram directTimes = new Histogram(3);
     for (int i = 0; i < WARM_UP + CALLS; i++) {
       long begun = System.nanoTime();
-      call(direct, "", directBody);
+      call(directUrl, "", directBody);
       long middle = System.nanoTime();
       call(url, "Bearer " + KEY, body(1, false));
       long end = System.nanoTime();
       if (i >= WARM_UP) {
-        theirs.recordValue((middle - begun) / 1_000);
-        ours.recordValue((end - middle) / 1_000);
+        directTimes.recordValue((middle - begun) / 1_000);
+        relayedTimes.recordValue((end - middle) / 1_000);
       }
     }
     for (double percentile : new double[] {50, 99}) {
-      long a = theirs.getValueAtPercentile(percentile);
-      long b = ours.getValueAtPercentile(percentile);
+      long a = directTimes.getValueAtPercentile(percentile);
+      long b = relayedTimes.getValueAtPercentile(percentile);
       report.line(
           "p%.0f: direct %d us, through both hops %d us: %.1f times, %d us more",
           percentile, a, b, b / (double) a, b - a);
@@ -216,7 +216,7 @@
     engines.forEach(engine -> engine.setTokenDelayMs(0));
   }
 
-  /** Prints every refusal that was counted by any daemon. */
+  /** Prints the non-zero counters of refusals, probes, late messages and retries. */
   private void reportRefusals(Report report) throws IOException {
     for (int i = 0; i < DAEMONS; i++) {
       Request request = new Request.Builder().url(ops(i) + "/metrics").build();
@@ -276,7 +276,10 @@
     return count;
   }
 
-  /** Returns the processor time of the daemons' threads by kind; threads that ended are missing. */
+  /**
+   * Returns the processor time in ns of live daemon threads by name prefix. Ended threads are not
+   * counted.
+   */
   private static Map<String, Long> daemonCpu() {
     ThreadMXBean bean = ManagementFactory.getThreadMXBean();
     Map<String, Long> cpu = new java.util.TreeMap<>();
--- a/bench/src/main/java/org/shoreroad/bench/StateBench.java
+++ b/bench/src/main/java/org/shoreroad/bench/StateBench.java
@@ -15,7 +15,7 @@
 import org.shoreroad.state.RecordCodec;
 import org.shoreroad.state.StateMachine;
 
-/** What the applied state costs: bytes, time to apply, time to derive the owners. */
+/** Measures the size of the applied state, and the time to apply records and derive owners. */
 final class StateBench {
   private static final int[] SIZES = {400, 2_000, 10_000};
   private static final int ROUNDS = 21;
